--- a/internal/target/dial.go
+++ b/internal/target/dial.go
@@ -9,108 +9,110 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// grow opens connections for those that wait, within this VM's bounds.
+// grow opens connections for waiting requests, within this VM's limit.
 func (p *Pool) grow() {
 	if p.waiting.Len() == 0 || p.closed || p.clock.Now().Before(p.noDialUntil) {
 		return
 	}
-	for _, r := range p.missing() {
-		if !p.room() {
+	for _, r := range p.requestsWithoutDial() {
+		if !p.makeRoom() {
 			return
 		}
-		p.open(r.Customer)
+		p.startDial(r.Customer)
 	}
 }
 
-// open begins to open a connection for a customer's requests.
-func (p *Pool) open(customer topology.CustomerID) {
-	l := p.laneOf(customer)
-	p.dialing[l]++
-	go p.dial(customer, l)
+// startDial starts to open a connection for a customer's requests.
+func (p *Pool) startDial(customer topology.CustomerID) {
+	s := p.subpoolOf(customer)
+	p.dialing[s]++
+	go p.dial(customer, s)
 }
 
-func (p *Pool) opened(l lane) {
-	p.dialing[l]--
-	if p.dialing[l] == 0 {
-		delete(p.dialing, l)
+func (p *Pool) dialEnded(s subpool) {
+	p.dialing[s]--
+	if p.dialing[s] == 0 {
+		delete(p.dialing, s)
 	}
 }
 
-// bound is the share, and more while open transactions hold connections that run
-// nothing: the slots would stand idle although requests wait. While another VM is
-// short of its own share it is the share alone: under load the VMs that came first
-// would otherwise keep all connections, and the others' callers would be refused for
-// as long as the load lasts.
-func (p *Pool) bound() int {
+// connectionLimit returns the limit of this VM's connections: its share, plus up to maxExtraLinks for
+// connections that are idle in transactions, since the target's slots would otherwise be
+// unused while requests wait. While another VM is starved it is the share alone: under load
+// the VMs that connected first would otherwise keep all connections, and callers of the
+// others would be refused for as long as the load lasts.
+func (p *Pool) connectionLimit() int {
 	if p.clock.Now().Before(p.yieldUntil) {
 		return p.share
 	}
-	resting := 0
+	idleInTransaction := 0
 	for l := range p.links {
-		if l.open && l.sent == 0 {
-			resting++
+		if l.inTransaction && l.sentAt == 0 {
+			idleInTransaction++
 		}
 	}
-	return p.share + min(resting, extraLinks)
+	return p.share + min(idleInTransaction, maxExtraLinks)
 }
 
-func (p *Pool) dial(customer topology.CustomerID, of lane) {
+func (p *Pool) dial(customer topology.CustomerID, s subpool) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	begun := p.clock.Now()
 	conn, err := p.driver.Dial(ctx, p.target, customer)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.opened(of)
+	p.dialEnded(s)
 	now := p.clock.Now()
 	if err != nil {
 		p.dialFailed(begun, now, err)
 		return
 	}
-	if shown := evidenceOf(conn); shown.Direct {
+	if evidence := evidenceOf(conn); evidence.Direct {
 		p.health.succeeded(now)
 	} else {
-		p.health.told(shown, begun, now)
+		p.health.noteEvidence(evidence, begun, now)
 	}
-	if p.closed || p.onlyAsked(now) {
+	if p.closed || p.discardProbe(now) {
 		conn.Close()
 		return
 	}
-	l := &Link{pool: p, conn: conn, customer: customer, shared: isShared(conn), lane: of, freed: now}
+	l := &Link{pool: p, conn: conn, customer: customer, indirect: leadsToHolder(conn), subpool: s, releasedAt: now}
 	p.links[l] = true
-	p.hand(l)
+	p.assign(l)
 	p.grow()
 }
 
-// askedPause is how long a VM that was told by a holder that the target fails waits before it
-// asks again: one renewal, with which it tells the coordinator.
-const askedPause = 250 * time.Millisecond
+// failingProbePause is the time between two probes of a target through holders that report it as
+// failing: one renewal interval, at which the VM reports to the coordinator.
+const failingProbePause = 250 * time.Millisecond
 
-// onlyAsked reports whether a new connection has shown no more than that the target still fails,
-// and nobody waits for it. It leads to a VM between, which may know more in a moment; kept, one
-// came on top each tick for as long as the target failed, at each VM.
-func (p *Pool) onlyAsked(now mono.Time) bool {
+// discardProbe reports whether a new connection to a holder has only shown that the target still
+// fails, and no request waits for it. The caller then closes it, and the next probe waits for
+// failingProbePause: if such connections were kept, each VM would add one per tick for as long as
+// the target fails.
+func (p *Pool) discardProbe(now mono.Time) bool {
 	if !p.health.failing() || p.waiting.Len() > 0 {
 		return false
 	}
-	p.noProbeUntil = now.Add(askedPause)
+	p.noProbeUntil = now.Add(failingProbePause)
 	return true
 }
 
-// dialFailed answers those that no connection is left for. A new connection that takes
-// too long while others are answered tells of a target that is full, not of one that
-// has failed: taken for failed, a primary would be replaced for its load.
+// dialFailed handles a failed dial, and refuses all waiting requests if there is no other
+// connection. A dial that times out while other connections are answered shows that the
+// target is full, not that it has failed: otherwise a primary would be replaced because of
+// its load.
 func (p *Pool) dialFailed(begun, now mono.Time, err error) {
-	e := refusalOf(err, string(p.target.ID))
-	pause := dialPause
+	e := dialError(err, string(p.target.ID))
+	pause := dialFailedPause
 	switch e.Code {
 	case result.ConnectionsInUse:
-		pause = fullPause
+		pause = connectionsInUsePause
 		if len(p.links) < p.share {
 			p.starvedUntil = now.Add(starvedFor)
 		}
 	case result.WrongTarget:
-		pause = strangerPause
+		pause = wrongTargetPause
 		fallthrough
 	default:
 		if p.health.lastAnswer < begun {
@@ -126,16 +128,16 @@
 	p.refuseAll(e)
 }
 
-// probe finds out by a new connection whether the target lives.
+// probe opens a new connection to find out whether the target is alive.
 func (p *Pool) probe() {
 	if len(p.dialing) == 0 && !p.closed {
-		p.open("")
+		p.startDial("")
 	}
 }
 
-// Warm opens a first connection ahead of need: a target that becomes the primary
-// would otherwise make its first requests wait for one. One through another VM is opened at
-// little cost as it is needed, and kept to each target it would be one from each VM.
+// Warm opens a first connection in advance: the first requests to a target that becomes the
+// primary would otherwise wait for one. It opens none through another VM: such a connection is
+// cheap to open on demand, and keeping one to each target would cost holders one from each VM.
 func (p *Pool) Warm() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/target/driver.go
+++ b/internal/target/driver.go
@@ -1,5 +1,8 @@
-// Package target keeps this VM's connections to the targets and decides which
-// waiting request gets the next free one.
+// Package target pools this VM's connections to the targets, which are databases, and
+// decides which waiting request gets the next free one.
+//
+// A target that takes too few connections for all VMs has holders: the VMs that connect to it
+// directly. The other VMs reach it through a holder.
 package target
 
 import (
@@ -11,15 +14,15 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// CommandKind says what is sent to a target: a caller's own text, or a command of
-// the system.
+// CommandKind is the kind of a command that is sent to a target: a caller's own text, or
+// a command of the proxy.
 type CommandKind int
 
 // The kinds of commands.
 const (
-	// Caller: Text goes to the target unchanged.
+	// Caller sends Text to the target unchanged.
 	Caller CommandKind = iota
-	// Execute runs a prepared statement under the name that it has at the target.
+	// Execute runs the prepared statement Name.
 	Execute
 	Begin
 	BeginReadOnly
@@ -31,63 +34,65 @@
 	PrepareWrite
 )
 
-// Command is what a connection runs.
+// Command is a command that a connection runs.
 type Command struct {
 	Kind CommandKind
-	// ID is the caller's, or statement.OwnID.
+	// ID is the caller's statement ID, or statement.OwnID for a command of the proxy.
 	ID   string
 	Text string
-	// Name and Value are the parts of Execute, Set and the prepares.
+	// Name and Value are the arguments of Execute, Set, PrepareRead and PrepareWrite.
 	Name, Value string
-	// Priority of the request, and for how long its answer is within its class's objective,
-	// where others decide for the connection; 0: as long as it has time.
+	// Priority is the priority of the request, and Useful the time within which its answer meets
+	// the objective of its class, or 0 if that is its whole remaining time. A holder uses both to
+	// order the requests that wait for its connections.
 	Priority int
 	Useful   time.Duration
-	// Insist: a refusal of the target for its load, before the run, is followed by
-	// another try on the same connection while there is time.
+	// Insist has Run retry on the same connection, while time remains, if the target
+	// refuses the command because of its load before running it.
 	Insist bool
-	// Customer whose request it is, and Anyone: it may run on a connection of any customer. Both are
-	// for a VM between, which has connections of its own.
+	// Customer is the customer whose request it is. Anyone is set if it may run on a connection of
+	// any customer. A holder uses both to choose one of its connections.
 	Customer topology.CustomerID
 	Anyone   bool
-	// After makes the target refuse unless its log holds the position.
+	// After makes the target refuse the command unless its log contains the position.
 	After position.Position
 }
 
-// Conn is a connection to a target. One goroutine uses it at a time.
+// Conn is a connection to a target. Only one goroutine may use it at a time.
 type Conn interface {
-	// Run sends a command and returns its whole answer. After an error whether the
-	// command ran is not known. If that is os.ErrDeadlineExceeded, Finish may be
-	// called; after any other the connection can't be used.
+	// Run sends a command and returns its whole answer. After an error it isn't known
+	// whether the command ran. After os.ErrDeadlineExceeded, Finish may be called; after
+	// any other error the connection can't be used any more.
 	Run(deadline time.Time, c Command) (statement.Answer, error)
-	// Finish reads the rest of an answer that Run did not wait for.
+	// Finish reads the rest of an answer for which Run's deadline was too short.
 	Finish(deadline time.Time) (statement.Answer, error)
 	Close()
 }
 
-// Evidence is what an answer shows of the target.
+// Evidence is what an answer shows of the target's state.
 type Evidence struct {
-	// Direct: it came from the target. Otherwise a VM between answered by itself, and the
-	// rest is how that one finds the target.
+	// Direct is set if the target itself answered. Otherwise a holder answered without the
+	// target, and the other fields are the target's state as seen by the holder.
 	Direct bool `msgpack:"d"`
-	// Failing: it does not reach the target.
+	// Failing is set if the holder doesn't reach the target.
 	Failing bool `msgpack:"f"`
-	// AnsweredAgo is how long ago the target last answered it, or NeverAnswered.
+	// AnsweredAgo is the time since the target last answered the holder, or NeverAnswered.
 	AnsweredAgo time.Duration `msgpack:"a"`
 }
 
-// NeverAnswered stands for a target that has not answered.
+// NeverAnswered is the AnsweredAgo of a target that has never answered.
 const NeverAnswered time.Duration = -1
 
-// Witness is a Conn that may answer without the target. The answers of others are the
-// target's.
+// Witness is implemented by a Conn that leads to a holder, which may answer without the target.
+// All answers of any other Conn are the target's.
 type Witness interface {
-	// Evidence tells of the last answer, or of the opening.
+	// Evidence returns what the last answer shows, or the answer to the opening if there is none
+	// since.
 	Evidence() Evidence
 }
 
-// isShared reports whether a connection leads to a VM between, which keeps customers apart by itself.
-func isShared(c Conn) bool {
+// leadsToHolder reports whether a connection leads to a holder, which keeps customers apart by itself.
+func leadsToHolder(c Conn) bool {
 	_, ok := c.(Witness)
 	return ok
 }
@@ -99,21 +104,21 @@
 	return Evidence{Direct: true}
 }
 
-// Driver opens connections by a target's own protocol. Safe for concurrent use.
+// Driver opens connections to targets. Safe for concurrent use.
 type Driver interface {
-	// Dial connects for the requests of one customer, and fails unless the target at the address is
-	// the one named.
+	// Dial opens a connection for the requests of one customer. It fails if another target than t
+	// answers at the address.
 	Dial(ctx context.Context, t topology.Target, customer topology.CustomerID) (Conn, error)
 }
 
-// Status is a target's own view of itself.
+// Status is a target's replication state as reported by itself.
 type Status struct {
 	Primary bool
-	// Term of its newest log entry.
+	// Term is the term of the newest log entry.
 	Term uint64
-	// Received is the newest position that it holds.
+	// Received is the newest position in the log.
 	Received position.Position
-	// StoppedAt is the term up to which it does not receive; 0: it receives.
+	// StoppedAt is the term up to which the target receives no log entries, or 0 if it receives all.
 	StoppedAt uint64
 	Lag       time.Duration
 }
--- a/internal/target/health.go
+++ b/internal/target/health.go
@@ -6,10 +6,11 @@
 	"github.com/buckthornshore/buckthornshore/pkg/mono"
 )
 
-// latencyWeight of a new answer in the average: about the last ten answers count.
+// latencyWeight is the weight of a new answer in the moving average, which thus covers about the last ten.
 const latencyWeight = 0.1
 
-// health is what a target's answers tell of it. The zero value knows nothing.
+// health is a target's state as shown by its answers. The zero value stands for a target that has not been
+// used yet.
 type health struct {
 	lastAnswer   mono.Time
 	failingSince mono.Time
@@ -30,9 +31,9 @@
 	h.failingSince = 0
 }
 
-// told notes how a VM between finds the target, in answer to what was sent at begun. Its word
-// that the target answers counts for as old as the target's answer is.
-func (h *health) told(e Evidence, begun, now mono.Time) {
+// noteEvidence applies a holder's evidence of the target's state, received in response to a message sent at
+// begun. If the target answers, its last answer is dated back to when the holder received it.
+func (h *health) noteEvidence(e Evidence, begun, now mono.Time) {
 	if e.Failing {
 		if h.lastAnswer < begun {
 			h.failed(now)
@@ -55,7 +56,7 @@
 	}
 }
 
-// silent notes that a command has waited too long; only an answer clears it.
+// silent records that a command has waited too long for its answer. Only an answer clears this state.
 func (h *health) silent(now mono.Time) { h.failed(now) }
 
 func (h *health) failing() bool { return h.failingSince != 0 }
--- a/internal/target/departure_test.go
+++ b/internal/target/leaving_test.go
@@ -15,7 +15,7 @@
 	"github.com/buckthornshore/buckthornshore/pkg/waitlist"
 )
 
-// leavingPool is a pool whose clock a test sets, with the target's time over a second after it began.
+// leavingPool returns a pool with a manual clock, and a leaving target that is sent new work for a second.
 func leavingPool(f *fakeTarget, share int) (*target.Pool, *mono.Manual) {
 	clock := &mono.Manual{T: 1}
 	p := target.NewPool(topology.Target{ID: "t"}, share, f, clock, slog.New(slog.DiscardHandler))
@@ -27,8 +27,9 @@
 	return p.Acquire(context.Background(), until(clock.T.Add(5*time.Second)), nil)
 }
 
-// Guards against work that is sent to a target after its time, over a connection that was free before.
-func TestATargetThatLeavesTakesNoNewWorkAfterItsTime(t *testing.T) {
+// Guards against new work that is sent to a leaving target after its drain time, also over a connection that
+// was acquired before.
+func TestALeavingTargetGetsNoNewWorkAfterItsDrainTime(t *testing.T) {
 	for name, work := range map[string]func(*target.Link) *result.Error{
 		"a statement": func(l *target.Link) *result.Error {
 			a, err := l.Run(soon(), target.Command{Text: "read x"})
@@ -51,7 +52,7 @@
 			t.Fatalf("%s: %v", name, failure)
 		}
 		if failure := work(early); failure != nil {
-			t.Fatalf("%s in time: %v", name, failure)
+			t.Fatalf("%s during the drain time: %v", name, failure)
 		}
 		late, failure := acquireAt(p, clock)
 		if failure != nil {
@@ -60,19 +61,19 @@
 		sent := len(f.sent)
 		clock.T = clock.T.Add(time.Second)
 		if failure := work(late); failure == nil || failure.Code != result.TargetLeaving || failure.Ran != result.NotRun {
-			t.Fatalf("%s after its time: %v", name, failure)
+			t.Fatalf("%s after the drain time: %v", name, failure)
 		}
 		if n := len(f.sent) - sent; n != 0 {
 			t.Fatalf("%s: %d commands were sent", name, n)
 		}
 		if _, failure := acquireAt(p, clock); failure == nil || failure.Code != result.TargetLeaving {
-			t.Fatalf("%s: a connection was given out: %v", name, failure)
+			t.Fatalf("%s: acquire after the drain time: %v", name, failure)
 		}
 	}
 }
 
-// Guards against transactions that are cut off though the target still serves them.
-func TestAnOpenTransactionGoesOnAtATargetThatLeaves(t *testing.T) {
+// Guards against open transactions that are refused after the drain time though the target still serves them.
+func TestAnOpenTransactionContinuesAtALeavingTarget(t *testing.T) {
 	f := &fakeTarget{}
 	p, clock := leavingPool(f, 1)
 	l, failure := acquireAt(p, clock)
@@ -88,17 +89,17 @@
 	}
 }
 
-// Guards against requests that wait at a target until their deadline though it takes nothing more.
-func TestThoseThatWaitAreToldWhenATargetsTimeIsOver(t *testing.T) {
+// Guards against requests that wait for a leaving target until their deadline though it is sent no new work.
+func TestWaitingRequestsAreRefusedAfterTheDrainTime(t *testing.T) {
 	f := &fakeTarget{}
 	p, clock := leavingPool(f, 1)
-	if _, failure := acquireAt(p, clock); failure != nil { // It holds the only connection.
+	if _, failure := acquireAt(p, clock); failure != nil { // Takes the only connection.
 		t.Fatal(failure)
 	}
-	told := make(chan *result.Error, 1)
+	refused := make(chan *result.Error, 1)
 	go func() {
 		_, failure := acquireAt(p, clock)
-		told <- failure
+		refused <- failure
 	}()
 	for p.Load().InFlight == 0 {
 		time.Sleep(time.Millisecond)
@@ -106,17 +107,18 @@
 	clock.T = clock.T.Add(time.Second)
 	p.Tick()
 	select {
-	case failure := <-told:
+	case failure := <-refused:
 		if failure == nil || failure.Code != result.TargetLeaving || failure.Ran != result.NotRun {
 			t.Fatal(failure)
 		}
 	case <-time.After(2 * time.Second):
-		t.Fatal("it waits on")
+		t.Fatal("the request still waits")
 	}
 }
 
-// Guards against a VM that has just started and takes a target's departure for one that has just begun.
-func TestATargetThatLeavesSinceAnUnknownTimeTakesNoWork(t *testing.T) {
+// Guards against a VM that has just started and grants the full drain time to a target that has been leaving
+// for longer.
+func TestATargetLeavingSinceAnUnknownTimeGetsNoWork(t *testing.T) {
 	f, clock := &fakeTarget{}, &mono.Manual{T: 1}
 	p := target.NewPool(topology.Target{ID: "t"}, 1, f, clock, slog.New(slog.DiscardHandler))
 	p.Leave(0)
@@ -125,12 +127,13 @@
 	}
 	p.Stay()
 	if _, failure := acquireAt(p, clock); failure != nil {
-		t.Fatalf("it stays: %v", failure)
+		t.Fatalf("the target is no longer leaving: %v", failure)
 	}
 }
 
-// Guards against reads that are refused everywhere, as no position of the primary can be asked for any more.
-func TestAPositionIsAskedForAfterATargetsTime(t *testing.T) {
+// Guards against reads that every target refuses since the position of a leaving primary can't be requested
+// any more.
+func TestThePositionIsAvailableAfterTheDrainTime(t *testing.T) {
 	f := &fakeTarget{answer: func(target.Command) (statement.Answer, error) {
 		return statement.Answer{State: statement.Idle, Position: position.Position{Term: 1, Index: 4}}, nil
 	}}
--- a/internal/target/link.go
+++ b/internal/target/link.go
@@ -16,54 +16,57 @@
 	"github.com/buckthornshore/buckthornshore/pkg/waitlist"
 )
 
-// maxPreparedPerLink bounds the prepared statements of one connection; beyond it
-// the connection is reset.
+// maxPreparedPerLink is the number of prepared statements beyond which a connection
+// is reset.
 const maxPreparedPerLink = 200
 
 const (
-	// insistPause is about how long a statement that insists waits after a refusal: as long
-	// as a statement takes at a target. It is drawn, so that VMs that were refused together
-	// don't meet again.
+	// insistPause is the average pause before a command with Insist is sent again after a
+	// refusal: about as long as a statement takes at a target. The pause is randomized, so that
+	// VMs that were refused at the same time don't retry at the same time.
 	insistPause = 10 * time.Millisecond
-	// insistReserve is what is left of its time at least when it is sent again: about as long as
-	// a target with a full queue takes.
+	// insistReserve is the least time that must remain before the deadline for another try:
+	// about as long as a target with a full queue takes to answer.
 	insistReserve = 100 * time.Millisecond
 )
 
-// Link is a connection that one request or transaction holds.
+// Link is a pooled connection, which one request or transaction holds at a time.
 type Link struct {
 	pool *Pool
 	conn Conn
-	// customer for whose requests the link was opened; shared: it serves all customers of its lane.
+	// customer is the customer for whose requests the link was opened. indirect is set if the link
+	// leads to a holder and serves all customers of its subpool.
 	customer topology.CustomerID
-	shared   bool
-	lane     lane
-	// values and prepared are what the connection has been given.
+	indirect bool
+	subpool  subpool
+	// values are the session values set on the connection, prepared the names of its prepared
+	// statements.
 	values   map[string]string
 	prepared map[string]bool
-	// open: a transaction is open at the target.
-	open bool
-	// broken: the connection can't be used any more.
+	// inTransaction is set while a transaction is open at the target.
+	inTransaction bool
+	// broken is set if the connection can't be used any more.
 	broken bool
-	// unfinished: the answer to the last command was not waited for to its end.
-	unfinished bool
-	// turn is the request that holds the link.
-	turn waitlist.Request
-	// taken is when the link was given out, after its request had waited for it.
-	taken  mono.Time
-	waited time.Duration
-	// sent is when the command under way was sent; 0: none is.
-	sent mono.Time
-	// freed is when the link was last given back.
-	freed mono.Time
+	// answerPending is set if the answer to the last command didn't come before its deadline.
+	answerPending bool
+	// request is the request that holds the link.
+	request waitlist.Request
+	// acquiredAt is when the request got the link, and waited how long it had waited for it.
+	acquiredAt mono.Time
+	waited     time.Duration
+	// sentAt is when the running command was sent, or 0 if none is running.
+	sentAt mono.Time
+	// releasedAt is when the link was last released.
+	releasedAt mono.Time
 }
 
-// give hands the link to a request that has waited for it.
-func (l *Link) give(r waitlist.Request, now mono.Time, waited time.Duration) {
-	l.turn, l.taken, l.waited = r, now, waited
+// assignTo gives the link to a request that has waited for it.
+func (l *Link) assignTo(r waitlist.Request, now mono.Time, waited time.Duration) {
+	l.request, l.acquiredAt, l.waited = r, now, waited
 }
 
-// Run sends a command and notes what its answer tells of the target.
+// Run runs a command and updates the target's health and saturation by its answer. A command with Insist is
+// retried while the target refuses it because of its load.
 func (l *Link) Run(deadline time.Time, c Command) (statement.Answer, error) {
 	for {
 		a, err := l.runOnce(deadline, c)
@@ -79,30 +82,30 @@
 }
 
 func (l *Link) runOnce(deadline time.Time, c Command) (statement.Answer, error) {
-	if l.opensWork(c.Kind) {
+	if l.startsWork(c.Kind) {
 		if refusal := l.pool.admit(l.waited); refusal != nil {
 			return statement.Answer{Failure: refusal, State: statement.Idle}, nil
 		}
 	}
-	begun := l.pool.begin(l)
-	c.Priority, c.Useful = l.turn.Priority, max(l.turn.Useful.Sub(begun), 1)
-	c.Customer, c.Anyone = l.turn.Customer, l.turn.Anyone
+	begun := l.pool.beginCommand(l)
+	c.Priority, c.Useful = l.request.Priority, max(l.request.Useful.Sub(begun), 1)
+	c.Customer, c.Anyone = l.request.Customer, l.request.Anyone
 	a, err := l.conn.Run(deadline, c)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		l.unfinished = true
+		l.answerPending = true
 		return a, err
 	}
-	l.pool.end(l, begun, a.Failure, err)
+	l.pool.endCommand(l, begun, a.Failure, err)
 	if err != nil {
 		l.broken = true
 		return a, err
 	}
-	l.open = a.State != statement.Idle
+	l.inTransaction = a.State != statement.Idle
 	return a, nil
 }
 
-// own runs a command of the system, which must succeed.
-func (l *Link) own(deadline time.Time, c Command) error {
+// runInternal runs a command of the proxy's own, and returns a failure of the command as an error.
+func (l *Link) runInternal(deadline time.Time, c Command) error {
 	c.ID = statement.OwnID
 	a, err := l.Run(deadline, c)
 	if err != nil {
@@ -114,8 +117,8 @@
 	return nil
 }
 
-// Adapt gives the connection the session's values. Connections are shared between
-// sessions: without it a statement would run under another session's values.
+// Adapt sets the session's values on the connection and clears all others. Connections are
+// shared between sessions: without it a statement would run with another session's values.
 func (l *Link) Adapt(deadline time.Time, values map[string]string) error {
 	for name := range l.values {
 		if _, ok := values[name]; ok {
@@ -130,8 +133,8 @@
 		if present, ok := l.values[name]; ok && present == value {
 			continue
 		}
-		if err := l.own(deadline, Command{Kind: Set, Name: name, Value: value}); err != nil {
-			l.broken = true // Which of the values it has is not known.
+		if err := l.runInternal(deadline, Command{Kind: Set, Name: name, Value: value}); err != nil {
+			l.broken = true // It isn't known whether the value was set.
 			return err
 		}
 		if l.values == nil {
@@ -143,7 +146,7 @@
 }
 
 func (l *Link) reset(deadline time.Time) error {
-	if err := l.own(deadline, Command{Kind: Reset}); err != nil {
+	if err := l.runInternal(deadline, Command{Kind: Reset}); err != nil {
 		l.broken = true
 		return err
 	}
@@ -151,14 +154,14 @@
 	return nil
 }
 
-// Ensure prepares a statement under a name that is the same for all sessions, so
-// that names of two sessions can't collide, and returns that name.
+// Ensure prepares a statement unless the connection has it already, and returns its name.
+// The name depends on the statement alone: names chosen by two sessions could collide.
 func (l *Link) Ensure(deadline time.Time, p statement.Prepared) (string, error) {
-	name := sharedName(p)
+	name := statementName(p)
 	if l.prepared[name] {
 		return name, nil
 	}
-	if len(l.prepared) >= maxPreparedPerLink && !l.open {
+	if len(l.prepared) >= maxPreparedPerLink && !l.inTransaction {
 		values := l.values
 		if err := l.reset(deadline); err != nil {
 			return "", err
@@ -171,7 +174,7 @@
 	if p.Writes {
 		kind = PrepareWrite
 	}
-	if err := l.own(deadline, Command{Kind: kind, Name: name, Value: p.Shape}); err != nil {
+	if err := l.runInternal(deadline, Command{Kind: kind, Name: name, Value: p.Shape}); err != nil {
 		l.broken = true
 		return "", err
 	}
@@ -182,10 +185,10 @@
 	return name, nil
 }
 
-// sharedName is short, and differs for each shape and kind.
-func sharedName(p statement.Prepared) string {
+// statementName returns a short name derived from the statement's shape and kind.
+func statementName(p statement.Prepared) string {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(p.Shape)) // A hash never fails.
+	_, _ = h.Write([]byte(p.Shape)) // Write of a hash.Hash never returns an error.
 	prefix := "r"
 	if p.Writes {
 		prefix = "w"
@@ -193,20 +196,21 @@
 	return prefix + strconv.FormatUint(h.Sum64(), 36)
 }
 
-// Begin opens a transaction; the target refuses unless it holds after.
+// Begin opens a transaction. The target refuses it unless its log contains the position after.
 func (l *Link) Begin(deadline time.Time, readOnly bool, after position.Position) error {
 	c := Command{Kind: Begin, After: after}
 	if readOnly {
 		c.Kind = BeginReadOnly
 	}
-	return l.own(deadline, c)
+	return l.runInternal(deadline, c)
 }
 
-// Position asks for the target's newest position, without taking a slot.
+// Position returns the target's newest position. It sends a reset, which takes no slot at the target and
+// clears the connection's values and prepared statements.
 func (l *Link) Position(deadline time.Time) (position.Position, error) {
 	a, err := l.Run(deadline, Command{Kind: Reset, ID: statement.OwnID})
 	if err != nil {
-		l.broken = true // Whether it was, or will be, cleared is not known.
+		l.broken = true // It isn't known whether the connection was, or will be, cleared.
 		return position.Position{}, err
 	}
 	if a.Failure != nil {
@@ -217,41 +221,41 @@
 	return a.Position, nil
 }
 
-// finishTimeout is how long a late answer is waited for before its connection is
-// closed. The target works on the statement in any case; closing would have it open
-// another connection, which takes a slot for longer than most statements: a target would stay
-// overloaded after the load has gone.
+// finishTimeout bounds the wait for a late answer before its connection is closed. The
+// target runs the statement in any case. A closed connection has to be replaced by a new
+// one, the opening of which takes a slot for longer than most statements: a target would
+// stay overloaded after the load has gone.
 const finishTimeout = 1500 * time.Millisecond
 
 // finish reads a late answer, so that the connection can be used again.
 func (l *Link) finish() {
 	a, err := l.conn.Finish(time.Now().Add(finishTimeout))
-	l.pool.end(l, l.sent, a.Failure, err)
-	l.unfinished = false
+	l.pool.endCommand(l, l.sentAt, a.Failure, err)
+	l.answerPending = false
 	l.broken = l.broken || err != nil
-	l.open = err == nil && a.State != statement.Idle
+	l.inTransaction = err == nil && a.State != statement.Idle
 }
 
-// rollbackTimeout bounds the roll-back of a transaction that its caller left.
+// rollbackTimeout bounds the rollback of a transaction that its caller abandoned.
 const rollbackTimeout = 500 * time.Millisecond
 
-// Release gives the connection back. A transaction that is still open is rolled
-// back first; a connection on which that fails is closed, which rolls back, too. It
-// does not wait for a late answer.
+// Release returns the connection to the pool. A transaction that is still open is rolled
+// back first; if that fails, the connection is closed, which rolls it back as well. A late
+// answer is read in the background.
 func (l *Link) Release() {
-	if l.unfinished {
+	if l.answerPending {
 		go func() {
 			l.finish()
 			l.Release()
 		}()
 		return
 	}
-	if l.open && !l.broken {
-		if err := l.own(time.Now().Add(rollbackTimeout), Command{Kind: Rollback}); err != nil {
+	if l.inTransaction && !l.broken {
+		if err := l.runInternal(time.Now().Add(rollbackTimeout), Command{Kind: Rollback}); err != nil {
 			l.pool.log.Info("event=rollback_failed", "target", l.pool.target.ID, "error", err, "outcome", "connection_closed")
 			l.broken = true
 		}
-		l.broken = l.broken || l.open
+		l.broken = l.broken || l.inTransaction
 	}
 	l.pool.release(l)
 }
@@ -260,10 +264,10 @@
 func (l *Link) Broken() bool { return l.broken }
 
 // Open reports whether a transaction is open at the target.
-func (l *Link) Open() bool { return l.open }
+func (l *Link) Open() bool { return l.inTransaction }
 
-// refusalOf turns a failed dial into a result.
-func refusalOf(err error, target string) *result.Error {
+// dialError converts the error of a failed dial to a result error.
+func dialError(err error, target string) *result.Error {
 	e := result.From(err)
 	if e.Code == result.Internal {
 		return result.New(result.TargetUnreachable, "%s: %v", target, err)
--- a/internal/target/pool.go
+++ b/internal/target/pool.go
@@ -14,38 +14,40 @@
 )
 
 const (
-	// dialTimeout of a new connection, which waits for a slot behind the target's queue.
+	// dialTimeout bounds the opening of a connection, which takes a slot at the target and
+	// waits behind the statements that are queued there.
 	dialTimeout = 400 * time.Millisecond
-	// fullPause is how long no connection is tried after the target had none
-	// left: about the time that a transaction holds one.
-	fullPause = 150 * time.Millisecond
-	// dialPause is how long no connection is tried after one failed.
-	dialPause = 100 * time.Millisecond
-	// strangerPause is the same where another target answers at the address: it stays so
-	// until the registration changes.
-	strangerPause = time.Second
-	// surplusIdle is how long a connection beyond the first stays unused. The one used
-	// last is used next, so those that the load does not need fall idle. What a VM
-	// holds when it loses power blocks places at the target for seconds more, and its
-	// successors can't connect.
+	// connectionsInUsePause is how long no connection is dialled after the target refused one because all
+	// of its connections were in use: about as long as a transaction holds a connection.
+	connectionsInUsePause = 150 * time.Millisecond
+	// dialFailedPause is how long no connection is dialled after a dial failed.
+	dialFailedPause = 100 * time.Millisecond
+	// wrongTargetPause is how long no connection is dialled after another target answered at the
+	// address, which goes on until the registration changes.
+	wrongTargetPause = time.Second
+	// surplusIdle is how long a connection beyond the first may be idle before it is closed.
+	// The most recently used connection is reused first, so those that the load doesn't need
+	// become idle. They are closed early because the connections of a VM that loses power
+	// occupy places at the target for several more seconds, in which its successors can't
+	// connect.
 	surplusIdle = 250 * time.Millisecond
 	// silentAfter is how long the target may leave all commands unanswered before
-	// a new connection is tried.
+	// a new connection is dialled to probe it.
 	silentAfter = 250 * time.Millisecond
-	// indirectIdle is the same for connections that go through another VM.
+	// indirectIdle is surplusIdle for connections that go through another VM.
 	indirectIdle = 15 * time.Second
-	// starvedFor is how long a VM counts as short of its share after a refusal, and
-	// yieldFor how long the others keep to theirs: a few rounds of the messages that
-	// tell of it.
+	// starvedFor is how long a VM counts as starved after a refusal, and yieldFor how long
+	// the other VMs then keep to their shares: a few rounds of the messages that report
+	// starved VMs.
 	starvedFor = time.Second
 	yieldFor   = 2 * time.Second
-	// extraLinks is how many connections beyond its share a VM may open while
-	// transactions that rest between two statements hold the others.
-	extraLinks = 3
+	// maxExtraLinks is how many connections beyond its share a VM may open while other
+	// connections are idle in transactions.
+	maxExtraLinks = 3
 )
 
-// given is what a waiter gets: a link or the reason why not.
-type given struct {
+// grant is the result of a wait: a link, or the reason why there is none.
+type grant struct {
 	link *Link
 	err  *result.Error
 }
@@ -58,77 +60,78 @@
 	log    *slog.Logger
 
 	mu    sync.Mutex
-	share int // how many connections this VM may hold open as a rule
-	// indirect: its connections go through another VM.
+	share int // the usual limit of this VM's open connections; see connectionLimit
+	// indirect is set if the connections go through another VM.
 	indirect bool
-	// idleFor is how long a connection beyond the first stays unused.
+	// idleFor is how long a connection beyond the first may be idle.
 	idleFor time.Duration
-	// holderOf names the VM through which a customer's requests go, if they do.
+	// holderOf returns the VM through which a customer's requests go if the pool is indirect.
 	holderOf func(topology.CustomerID) topology.VMID
 	links    map[*Link]bool
-	// idle are the unused links, the one used last at the end.
+	// idle contains the idle links, the most recently used last.
 	idle []*Link
-	// dialing counts the connections that are being opened, by lane.
-	dialing map[lane]int
-	waiting waitlist.List[chan given]
-	// noDialUntil keeps from connecting again at once, and noProbeUntil from finding out again
-	// whether the target lives.
+	// dialing counts the connections that are being opened, by subpool.
+	dialing map[subpool]int
+	waiting waitlist.List[chan grant]
+	// noDialUntil is when the next connection may be dialled, and noProbeUntil when a failing
+	// target may be probed again.
 	noDialUntil  mono.Time
 	noProbeUntil mono.Time
-	// starvedUntil: the target had no connection left while this VM held fewer than
-	// its share. yieldUntil: another VM is in this state.
+	// starvedUntil is until when this VM counts as starved: the target had no connection left
+	// while this VM held fewer than its share. yieldUntil is until when this VM keeps to its
+	// share since another VM is starved.
 	starvedUntil mono.Time
 	yieldUntil   mono.Time
 	saturation   saturation
-	departure    departure
+	leaving      leaving
 	health       health
-	// hold is the average time for which a request or transaction holds a link.
-	hold   time.Duration
-	closed bool
+	// holdTime is the moving average of how long a request or transaction holds a link.
+	holdTime time.Duration
+	closed   bool
 }
 
-// NewPool makes an empty pool.
+// NewPool returns an empty pool.
 func NewPool(t topology.Target, share int, d Driver, clock mono.Clock, log *slog.Logger) *Pool {
 	return &Pool{
 		target: t, share: share, idleFor: surplusIdle, driver: d, clock: clock, log: log,
-		holderOf: anyHolder, links: map[*Link]bool{}, dialing: map[lane]int{},
+		holderOf: noHolder, links: map[*Link]bool{}, dialing: map[subpool]int{},
 	}
 }
 
 // Target returns the pool's target.
 func (p *Pool) Target() topology.Target { return p.target }
 
-// Acquire waits for a connection until the request's deadline. values are those of the
-// session: a connection that has them already is preferred.
+// Acquire waits for a connection until the request's deadline. values are the session's
+// values; a connection on which they are already set is preferred.
 func (p *Pool) Acquire(ctx context.Context, r waitlist.Request, values map[string]string) (*Link, *result.Error) {
 	p.mu.Lock()
 	if p.closed {
 		p.mu.Unlock()
 		return nil, result.New(result.TargetUnreachable, "%s is gone", p.target.ID)
 	}
-	if p.hasLeft(p.clock.Now()) && !r.Anyone {
+	if p.drainEnded(p.clock.Now()) && !r.Anyone {
 		p.mu.Unlock()
-		return nil, p.left()
+		return nil, p.leavingError()
 	}
 	if l := p.takeIdle(&r, values); l != nil {
-		l.give(r, p.clock.Now(), 0)
+		l.assignTo(r, p.clock.Now(), 0)
 		p.mu.Unlock()
 		return l, nil
 	}
 	now := p.clock.Now()
-	wait := p.waiting.Wait(r, now, p.health.latency, p.hold, len(p.links))
+	wait := p.waiting.Wait(r, now, p.health.latency, p.holdTime, len(p.links))
 	if now.Add(wait).After(r.Deadline) {
 		p.waiting.Missed(r.Priority, now)
 		p.mu.Unlock()
 		return nil, result.New(result.QueueFull, "%s: a connection is expected in %v", p.target.ID, wait.Round(time.Millisecond)).After(wait)
 	}
-	w := p.waiting.Add(r, make(chan given, 1), now, p.health.latency)
+	w := p.waiting.Add(r, make(chan grant, 1), now, p.health.latency)
 	p.grow()
 	p.mu.Unlock()
 	return p.await(ctx, w)
 }
 
-func (p *Pool) await(ctx context.Context, w *waitlist.Waiter[chan given]) (*Link, *result.Error) {
+func (p *Pool) await(ctx context.Context, w *waitlist.Waiter[chan grant]) (*Link, *result.Error) {
 	timer := time.NewTimer(w.Deadline.Sub(p.clock.Now()))
 	defer timer.Stop()
 	select {
@@ -143,18 +146,19 @@
 	if removed {
 		return nil, result.New(result.DeadlineInQueue, "no connection to %s in time", p.target.ID)
 	}
-	g := <-w.Value // It was given one in this moment.
+	g := <-w.Value // The result was sent after the timer fired or ctx ended.
 	return g.link, g.err
 }
 
-// takeIdle returns an unused link that serves the request, best one with the session's values already.
+// takeIdle removes and returns an idle link that serves the request, preferably one on which the session's
+// values are already set, or nil.
 func (p *Pool) takeIdle(r *waitlist.Request, values map[string]string) *Link {
 	best, same := -1, false
 	for i, l := range p.idle {
 		if !p.serves(l, r) {
 			continue
 		}
-		// Otherwise the last one used, so that the others fall idle.
+		// Otherwise the most recently used link is taken, so that the others become idle.
 		if s := sameValues(l.values, values); s || !same {
 			best, same = i, s
 		}
@@ -179,30 +183,30 @@
 	return true
 }
 
-// hand gives a free link to the first that it serves, or keeps it.
-func (p *Pool) hand(l *Link) {
+// assign gives a free link to the first waiting request that it serves, or keeps it idle.
+func (p *Pool) assign(l *Link) {
 	now := p.clock.Now()
 	w := p.waiting.NextOf(func(r *waitlist.Request) bool { return p.serves(l, r) }, now, p.health.latency)
 	if w != nil {
-		l.give(w.Request, now, now.Sub(w.Since))
-		w.Value <- given{link: l}
+		l.assignTo(w.Request, now, now.Sub(w.Since))
+		w.Value <- grant{link: l}
 		return
 	}
-	l.freed = now
+	l.releasedAt = now
 	p.idle = append(p.idle, l)
 }
 
-// holdWeight of a new holding time in the average: about the last twenty count.
-const holdWeight = 0.05
+// holdTimeWeight is the weight of a new hold time in the moving average, which thus covers about the last twenty.
+const holdTimeWeight = 0.05
 
-func (p *Pool) noteHold(d time.Duration) {
-	p.hold += time.Duration(holdWeight * float64(d-p.hold))
+func (p *Pool) noteHoldTime(d time.Duration) {
+	p.holdTime += time.Duration(holdTimeWeight * float64(d-p.holdTime))
 }
 
 func (p *Pool) release(l *Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.noteHold(p.clock.Now().Sub(l.taken))
+	p.noteHoldTime(p.clock.Now().Sub(l.acquiredAt))
 	if l.broken || p.closed {
 		p.drop(l)
 		p.grow()
@@ -212,10 +216,10 @@
 		p.drop(l)
 		return
 	}
-	if p.gives(l, p.clock.Now()) {
+	if p.mustReplace(l, p.clock.Now()) {
 		p.drop(l)
 	} else {
-		p.hand(l)
+		p.assign(l)
 	}
 	p.grow()
 }
@@ -225,21 +229,22 @@
 	l.conn.Close()
 }
 
-func (p *Pool) begin(l *Link) mono.Time {
+func (p *Pool) beginCommand(l *Link) mono.Time {
 	now := p.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l.sent = now
+	l.sentAt = now
 	return now
 }
 
-// end notes what the end of a command tells of the target. What a holder answers by itself is no answer of the
-// target: VMs that reach a dark primary through holders would vouch for it.
-func (p *Pool) end(l *Link, begun mono.Time, refusal *result.Error, err error) {
+// endCommand updates the target's health and saturation after a command. An answer that a holder gave without the
+// target doesn't count as an answer of the target: otherwise VMs that use an unreachable primary through
+// holders would report it as alive.
+func (p *Pool) endCommand(l *Link, begun mono.Time, refusal *result.Error, err error) {
 	now := p.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l.sent = 0
+	l.sentAt = 0
 	if err != nil {
 		if p.health.lastAnswer < begun {
 			p.health.failed(now)
@@ -248,26 +253,26 @@
 		p.probe()
 		return
 	}
-	shown := evidenceOf(l.conn)
-	if shown.Direct {
+	evidence := evidenceOf(l.conn)
+	if evidence.Direct {
 		p.saturation.note(refusal, now)
 		p.health.answered(now, now.Sub(begun))
 	} else {
-		p.health.told(shown, begun, now)
+		p.health.noteEvidence(evidence, begun, now)
 	}
-	if l.open && p.waiting.Len() > 0 {
+	if l.inTransaction && p.waiting.Len() > 0 {
 		p.grow()
 	}
 }
 
-// Tick finds targets that have gone silent, closes surplus connections and connects
-// for those that still wait.
+// Tick detects a target that has stopped answering, probes a failing one, closes surplus
+// connections and opens connections for waiting requests.
 func (p *Pool) Tick() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
 	for l := range p.links {
-		if l.sent != 0 && now.Sub(l.sent) > silentAfter && p.health.lastAnswer < l.sent {
+		if l.sentAt != 0 && now.Sub(l.sentAt) > silentAfter && p.health.lastAnswer < l.sentAt {
 			p.health.silent(now)
 			p.probe()
 			break
@@ -277,11 +282,12 @@
 		p.probe()
 	}
 	p.closeSurplus(now)
-	p.followDeparture(now)
+	p.tickLeaving(now)
 	p.grow()
 }
 
-// Close ends the pool: idle connections at once, those in use when they are freed.
+// Close closes the pool and its idle connections, and refuses all waiting requests.
+// Connections in use are closed when they are released.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -293,59 +299,60 @@
 	p.refuseAll(result.New(result.TargetUnreachable, "%s is gone", p.target.ID))
 }
 
-// refuseAll answers all that wait.
+// refuseAll fails all waiting requests with the given error.
 func (p *Pool) refuseAll(why *result.Error) {
 	now := p.clock.Now()
 	for w := p.waiting.Next(now, 0); w != nil; w = p.waiting.Next(now, 0) {
-		w.Value <- given{err: why}
+		w.Value <- grant{err: why}
 	}
 }
 
-// Load is what is known of the target's load and health at this VM.
+// Load is the target's load and health as seen by this VM.
 type Load struct {
-	// InFlight counts the requests under way and waiting, Busy those under way.
+	// InFlight is the number of running and waiting requests, Busy that of running ones.
 	InFlight, Busy int
-	// Queue is how long a new request would wait here for a connection.
+	// Queue is how long a new request would wait for a connection at this VM.
 	Queue time.Duration
-	// Latency is the average time of an answer.
+	// Latency is the moving average of the target's response time.
 	Latency time.Duration
-	// FailingFor is how long the target has not answered; 0: it answers.
+	// FailingFor is how long the target has been failing, or 0 if it answers.
 	FailingFor time.Duration
-	// LastAnswer is when it last answered; 0: never.
+	// LastAnswer is when the target last answered, or 0 if it never has.
 	LastAnswer mono.Time
-	// Saturated: it refused a statement for its load just now.
+	// Saturated reports whether the target recently refused a statement because of its load,
+	// or a request recently waited here for too long to meet its objective.
 	Saturated bool
-	// Left: it leaves, and is sent no new work any more.
+	// Left reports whether the target is leaving and is no longer sent new work.
 	Left bool
 }
 
-// queue is how long a request behind all others would wait for a connection.
-func (p *Pool) queue() time.Duration {
+// queueTime returns how long a request behind all others would wait for a connection.
+func (p *Pool) queueTime() time.Duration {
 	if len(p.idle) > 0 || len(p.links) == 0 {
 		return 0
 	}
-	return time.Duration(p.waiting.Len()+1) * p.hold / time.Duration(len(p.links))
+	return time.Duration(p.waiting.Len()+1) * p.holdTime / time.Duration(len(p.links))
 }
 
-// Load returns the pool's present figures.
+// Load returns the target's current load and health.
 func (p *Pool) Load() Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
 	busy := 0
 	for l := range p.links {
-		if l.sent != 0 {
+		if l.sentAt != 0 {
 			busy++
 		}
 	}
 	return Load{
 		InFlight:   busy + p.waiting.Len(),
 		Busy:       busy,
-		Queue:      p.queue(),
+		Queue:      p.queueTime(),
 		Latency:    p.health.latency,
 		FailingFor: p.health.failingFor(now),
 		LastAnswer: p.health.lastAnswer,
 		Saturated:  p.saturated(math.MaxInt, now),
-		Left:       p.hasLeft(now),
+		Left:       p.drainEnded(now),
 	}
 }
--- a/internal/target/pool_test.go
+++ b/internal/target/pool_test.go
@@ -18,17 +18,18 @@
 	"github.com/buckthornshore/buckthornshore/pkg/waitlist"
 )
 
-// fakeTarget is the twin of a database: it keeps what its connections were sent.
+// fakeTarget is a fake database that records the commands sent over its connections.
 type fakeTarget struct {
 	mu      sync.Mutex
 	refuse  error
-	hold    chan struct{} // a dial waits for it
+	hold    chan struct{} // if not nil, a dial waits until it is closed
 	dialled int
-	// customers are those for which connections were opened, in turn, and closed how many were closed.
+	// customers are the customers for whom connections were opened, in order; closed counts the closed
+	// connections.
 	customers []topology.CustomerID
 	closed    int
 	sent      []target.Command
-	// answer is what Run gives; nil: a success outside of a transaction.
+	// answer replaces Run's answer. If it is nil, all commands succeed.
 	answer func(target.Command) (statement.Answer, error)
 }
 
@@ -66,7 +67,7 @@
 	c.target.closed++
 }
 
-// open counts the connections that are open.
+// open returns the number of open connections.
 func (f *fakeTarget) open() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -111,8 +112,8 @@
 
 func soon() time.Time { return time.Now().Add(time.Second) }
 
-// Two sessions share a connection. The first one's values must not be in force for the
-// second one's statement.
+// Guards against a statement that runs with the values of a session that used the connection
+// before.
 func TestAConnectionIsAdaptedToItsSession(t *testing.T) {
 	f := &fakeTarget{}
 	p := newPool(f, 1)
@@ -135,8 +136,8 @@
 	}
 }
 
-// A caller leaves in the middle of a transaction: the next session must not find its
-// statements inside it.
+// Guards against statements that run inside a transaction that an earlier session's caller
+// left open on the connection.
 func TestAnOpenTransactionIsRolledBackOnRelease(t *testing.T) {
 	f := &fakeTarget{}
 	p := newPool(f, 1)
@@ -149,13 +150,12 @@
 		t.Fatalf("last sent %+v", last)
 	}
 	if acquire(t, p, nil).Open() {
-		t.Fatal("given out with an open transaction")
+		t.Fatal("acquired a connection with an open transaction")
 	}
 }
 
-// The target is full: a further connection times out while the one in use is answered.
-// The pool must not report the target as failed, or a primary would be replaced for
-// its load.
+// Guards against a primary that is replaced because of its load: a new connection to a full
+// target times out while the one in use is answered, and the target must not count as failing.
 func TestAFullTargetHasNotFailed(t *testing.T) {
 	f := &fakeTarget{}
 	p := newPool(f, 2)
@@ -184,7 +184,8 @@
 	}
 }
 
-// Nobody answers: those that wait are refused at once, so that reads go elsewhere.
+// Guards against requests that wait for an unreachable target until their deadline: they are
+// refused at once, so that reads can go to another target.
 func TestAnUnreachableTargetRefusesAtOnce(t *testing.T) {
 	p := newPool(&fakeTarget{refuse: errors.New("refused")}, 2)
 	begun := time.Now()
@@ -197,7 +198,7 @@
 	}
 }
 
-// Names of two sessions collide; each must run its own shape.
+// Guards against prepared statements of different kinds that get the same name.
 func TestPreparedNamesOfTwoSessionsDiffer(t *testing.T) {
 	f := &fakeTarget{}
 	l := acquire(t, newPool(f, 1), nil)
@@ -214,27 +215,28 @@
 	}
 }
 
-// Transactions rest on all of a VM's connections, so it opens one more than its share.
-// Another VM gets none at all and says so: the one beyond the share is given back as
-// soon as it is free, and no other is opened.
+// Guards against a VM that keeps connections beyond its share while another VM is starved.
+// The connection opened beyond the share, since the others were idle in transactions, is
+// closed once it is released, and no other is opened.
 func TestConnectionsBeyondTheShareAreYielded(t *testing.T) {
 	f := &fakeTarget{}
 	p := newPool(f, 1)
-	resting := acquire(t, p, nil)
-	if err := resting.Begin(soon(), false, position.Position{}); err != nil {
+	idleInTransaction := acquire(t, p, nil)
+	if err := idleInTransaction.Begin(soon(), false, position.Position{}); err != nil {
 		t.Fatal(err)
 	}
-	extra := acquire(t, p, nil)
+	surplus := acquire(t, p, nil)
 	p.Yield()
-	extra.Release()
+	surplus.Release()
 	_, failure := p.Acquire(context.Background(), until(mono.System{}.Now().Add(50*time.Millisecond)), nil)
 	if failure == nil || f.count() != 2 {
 		t.Fatalf("%v after %d connections", failure, f.count())
 	}
 }
 
-// A target without a free connection: a VM that holds fewer than its share is short.
-func TestAShortageIsReported(t *testing.T) {
+// Guards against a VM that holds fewer connections than its share at a full target and
+// doesn't report itself as starved.
+func TestAStarvedVMIsReported(t *testing.T) {
 	p := newPool(&fakeTarget{refuse: result.New(result.ConnectionsInUse, "")}, 2)
 	_, failure := p.Acquire(context.Background(), until(mono.System{}.Now().Add(50*time.Millisecond)), nil)
 	if failure == nil || !p.Starved() {
@@ -242,9 +244,9 @@
 	}
 }
 
-// An answer comes later than its statement may take. The caller is told in time; the
-// connection is kept and used again once the answer has come. Closing it would cost the
-// target a new one, which takes a slot for longer than most statements.
+// Guards against a connection that is closed because an answer came after its deadline. It
+// is used again once the answer has come: opening a new one would take a slot of the target
+// for longer than most statements.
 func TestALateAnswerKeepsItsConnection(t *testing.T) {
 	f := &fakeTarget{answer: func(target.Command) (statement.Answer, error) {
 		return statement.Answer{}, os.ErrDeadlineExceeded
@@ -260,11 +262,11 @@
 	}
 }
 
-// More requests come than connections are freed. One that would wait for longer than it
-// can is refused at once, and says when to come back.
+// Guards against requests that wait though they can't get a connection before their
+// deadline. They are refused at once, with a time after which to retry.
 func TestAHopelessRequestIsRefusedAtOnce(t *testing.T) {
 	p := newPool(&fakeTarget{}, 1)
-	for range 60 { // They teach the pool how long a connection is held.
+	for range 60 { // The pool averages how long a connection is held.
 		l := acquire(t, p, nil)
 		time.Sleep(4 * time.Millisecond)
 		l.Release()
@@ -278,8 +280,8 @@
 	}
 }
 
-// A burst opened several connections; the load that is left needs one. The others are
-// closed, so that they block no place at the target if this VM loses power.
+// Guards against connections from a burst that stay open though the remaining load needs
+// only one: they would occupy places at the target if this VM lost power.
 func TestConnectionsThatTheLoadDoesNotNeedAreClosed(t *testing.T) {
 	f, clock := &fakeTarget{}, &mono.Manual{T: 1}
 	p := target.NewPool(topology.Target{ID: "t"}, 4, f, clock, slog.New(slog.DiscardHandler))
@@ -306,8 +308,9 @@
 	}
 }
 
-// A target refuses to tell its position, which also clears the connection. Whether it was
-// cleared is not known: the next session must not get it with the former one's values.
+// Guards against a session that gets a connection with another session's values. A request
+// for the position also clears the connection; if it is refused or late, it isn't known
+// whether the connection was cleared.
 func TestAConnectionThatMayNotBeClearedIsNotUsedAgain(t *testing.T) {
 	for name, answer := range map[string]func(target.Command) (statement.Answer, error){
 		"refused": func(target.Command) (statement.Answer, error) {
@@ -323,7 +326,7 @@
 		}
 		f.answer = answer
 		if _, err := l.Position(soon()); err == nil {
-			t.Fatalf("%s: a position", name)
+			t.Fatalf("%s: got a position", name)
 		}
 		f.mu.Lock()
 		f.answer = nil
@@ -335,8 +338,8 @@
 	}
 }
 
-// A session's value is answered too late to be sure of it. The connection may have it or
-// not: when the late answer has come, the connection must not go to the next session.
+// Guards against a connection that is used again though it isn't known whether a session's
+// value was set on it, since the answer came too late.
 func TestAConnectionWithAnUncertainValueIsNotUsedAgain(t *testing.T) {
 	f := &fakeTarget{answer: func(target.Command) (statement.Answer, error) {
 		return statement.Answer{}, os.ErrDeadlineExceeded
@@ -355,37 +358,37 @@
 	}
 }
 
-// between is a connection to a VM between, which does not reach the target.
-type between struct{ fakeConn }
+// holderConn is a connection to a holder that doesn't reach the target.
+type holderConn struct{ fakeConn }
 
-func (*between) Evidence() target.Evidence {
+func (*holderConn) Evidence() target.Evidence {
 	return target.Evidence{Failing: true, AnsweredAgo: target.NeverAnswered}
 }
 
-// betweens counts the connections opened to VMs between.
-type betweens struct {
+// holderDriver is a driver that counts the connections opened to holders.
+type holderDriver struct {
 	mu     sync.Mutex
 	opened int
 }
 
-func (b *betweens) Dial(context.Context, topology.Target, topology.CustomerID) (target.Conn, error) {
+func (b *holderDriver) Dial(context.Context, topology.Target, topology.CustomerID) (target.Conn, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.opened++
-	return &between{fakeConn{target: &fakeTarget{}}}, nil
+	return &holderConn{fakeConn{target: &fakeTarget{}}}, nil
 }
 
-func (b *betweens) count() int {
+func (b *holderDriver) count() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.opened
 }
 
-// A target is dark for a second, and a VM that reaches it through others looks each tick whether
-// it lives. It asks four times a second, and keeps none of the connections: 83 VMs opened twenty
-// a second each and kept them for three seconds.
-func TestADarkTargetIsAskedForNowAndThen(t *testing.T) {
-	d := &betweens{}
+// Guards against connections to holders that pile up while a target is unreachable. A VM may probe
+// it about four times a second and keeps none of the connections; when it probed on each tick, 83
+// VMs opened twenty a second each and kept them for three seconds.
+func TestAnUnreachableTargetIsProbedAtIntervals(t *testing.T) {
+	d := &holderDriver{}
 	p := target.NewPool(topology.Target{ID: "t"}, 4, d, mono.System{}, slog.New(slog.DiscardHandler))
 	l := acquire(t, p, nil)
 	l.Release()
@@ -396,11 +399,11 @@
 		t.Fatalf("%d connections opened in a second", n)
 	}
 	if p.Load().FailingFor == 0 {
-		t.Fatal("it is not failing")
+		t.Fatal("not reported as failing")
 	}
 }
 
-// until is a request that is of use for as long as it may wait.
+// until returns a request whose objective and deadline are both the given time.
 func until(deadline mono.Time) waitlist.Request {
 	return waitlist.Request{Priority: 1, Useful: deadline, Deadline: deadline}
 }
--- a/internal/target/pools.go
+++ b/internal/target/pools.go
@@ -16,16 +16,16 @@
 const (
 	tickPeriod = 50 * time.Millisecond
 	// indirectShare is how many connections through other VMs a VM may have to one
-	// target: more than it needs, since the target's places are shared out there.
+	// target: more than it needs, since the target's connections are limited at the holders.
 	indirectShare = 12
-	// warmEvery is how many ticks pass between looks for targets without any
+	// warmEveryTicks is the number of ticks between checks for targets without any
 	// connection.
-	warmEvery = 20
+	warmEveryTicks = 20
 )
 
 // Pools holds the pools of all targets. Safe for concurrent use.
 type Pools struct {
-	// Drain is for how long a target that leaves is sent new work. It is set before Run.
+	// Drain is how long a leaving target is sent new work. It must be set before Run.
 	Drain time.Duration
 
 	directory *directory.Directory
@@ -35,11 +35,11 @@
 
 	mu    sync.Mutex
 	pools map[topology.TargetID]*Pool
-	// synced is the number of changes of the directory that the pools follow.
+	// synced is the directory's change count at the last sync.
 	synced uint64
 }
 
-// NewPools makes pools for the directory's targets.
+// NewPools returns pools for the directory's targets, which Run opens.
 func NewPools(d *directory.Directory, driver Driver, clock mono.Clock, log *slog.Logger) *Pools {
 	return &Pools{Drain: DefaultDrain, directory: d, driver: driver, clock: clock, log: log, pools: map[topology.TargetID]*Pool{}}
 }
@@ -52,7 +52,7 @@
 	return pool, ok
 }
 
-// Load returns how this VM finds a target; false if it has no pool.
+// Load returns a target's load and health as seen by this VM, or false if the target has no pool.
 func (p *Pools) Load(id topology.TargetID) (Load, bool) {
 	pool, ok := p.Get(id)
 	if !ok {
@@ -61,7 +61,7 @@
 	return pool.Load(), true
 }
 
-// Starved lists the targets of which this VM gets fewer connections than its share.
+// Starved returns the targets at which this VM gets fewer connections than its share.
 func (p *Pools) Starved() []topology.TargetID {
 	var ids []topology.TargetID
 	for _, pool := range p.all() {
@@ -72,7 +72,7 @@
 	return ids
 }
 
-// Yield keeps to this VM's share of the targets' connections for a while.
+// Yield limits this VM to its share of each target's connections for yieldFor.
 func (p *Pools) Yield(ids []topology.TargetID) {
 	for _, id := range ids {
 		if pool, ok := p.Get(id); ok {
@@ -89,7 +89,7 @@
 		p.sync()
 		for _, pool := range p.all() {
 			pool.Tick()
-			if n%warmEvery == 0 {
+			if n%warmEveryTicks == 0 {
 				pool.Warm()
 			}
 		}
@@ -137,7 +137,7 @@
 			p.pools[t.ID] = pool
 		}
 		pool.SetShare(share)
-		pool.follow(t, p.Drain)
+		pool.followDirectory(t, p.Drain)
 	}
 	for id, pool := range p.pools {
 		if !present[id] {
@@ -148,7 +148,7 @@
 	}
 }
 
-// shareOf returns what this VM may hold of a target's connections.
+// shareOf returns this VM's share of a target's connections.
 func (p *Pools) shareOf(t directory.Target, c *directory.Configuration) Share {
 	holders := p.directory.Holders(t.Target)
 	if !slices.Contains(holders, p.directory.Self().ID) {
--- a/internal/target/saturation.go
+++ b/internal/target/saturation.go
@@ -7,13 +7,13 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// saturatedFor is how long a target counts as saturated after it refused a statement for its
-// load. A VM of many sends a target a few statements a second, so a shorter time would end
-// between two of them.
+// saturatedFor is how long a target counts as saturated after it refused a statement because of
+// its load. With many VMs, each sends a target only a few statements a second, so a shorter time
+// would end between two of them.
 const saturatedFor = time.Second
 
-// saturation is whether a target refuses statements for its load: its slots are at work, and
-// as many statements wait there as it takes.
+// saturation records that a target refuses statements because of its load: all of its slots are
+// busy and its queue is full.
 type saturation struct{ until mono.Time }
 
 func (s *saturation) note(refusal *result.Error, now mono.Time) {
@@ -22,15 +22,16 @@
 	}
 }
 
-// saturated reports whether the target can't serve all requests of a priority: it refused one for
-// its load, or one that waited here for a connection can't be answered within its objective.
+// saturated reports whether the target can't serve all requests of a priority: it refused a
+// statement because of its load, or a request that waited here for a connection can't be answered
+// within its objective.
 func (p *Pool) saturated(priority int, now mono.Time) bool {
 	return now.Before(p.saturation.until) || p.waiting.MissedSince(priority, now.Add(-saturatedFor))
 }
 
-// AdmitTransaction refuses a new transaction of a priority while the target is saturated. It answers the
-// load that lasts and exceeds what the target can do: a transaction takes the place of as many callers as it
-// has statements, and a refusal in its middle wastes what was done for it.
+// AdmitTransaction refuses a new transaction of a priority while the target is saturated. Under a lasting
+// overload a transaction displaces as many requests as it has statements, and a refusal within it wastes the
+// work already done for it.
 func (p *Pool) AdmitTransaction(priority int) *result.Error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/target/share.go
+++ b/internal/target/share.go
@@ -2,15 +2,16 @@
 
 import "github.com/buckthornshore/buckthornshore/pkg/mono"
 
-// Share is what a VM may hold of a target's connections.
+// Share is a VM's share of a target's connections.
 type Share struct {
-	// Connections is their number as a rule.
+	// Connections is the usual limit of the VM's open connections.
 	Connections int
-	// Indirect ones go through another VM, take no place at the target, and are kept for longer.
+	// Indirect is set if the connections go through another VM. Such connections take no place at
+	// the target and may be idle for longer.
 	Indirect bool
 }
 
-// SetShare changes what this VM may hold.
+// SetShare changes this VM's share of the target's connections.
 func (p *Pool) SetShare(s Share) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -20,14 +21,14 @@
 	}
 }
 
-// Starved reports whether this VM gets fewer connections than its share.
+// Starved reports whether the target recently had no connection left while this VM held fewer than its share.
 func (p *Pool) Starved() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.clock.Now().Before(p.starvedUntil)
 }
 
-// Yield has this VM keep to its share for a while.
+// Yield limits this VM to its share for yieldFor, and closes idle connections beyond it.
 func (p *Pool) Yield() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -39,7 +40,7 @@
 }
 
 func (p *Pool) closeSurplus(now mono.Time) {
-	for len(p.links) > 1 && len(p.idle) > 0 && now.Sub(p.idle[0].freed) > p.idleFor {
+	for len(p.links) > 1 && len(p.idle) > 0 && now.Sub(p.idle[0].releasedAt) > p.idleFor {
 		p.drop(p.idle[0])
 		p.idle = p.idle[1:]
 	}
--- a/internal/target/silence.go
+++ b/internal/target/silence.go
@@ -8,26 +8,27 @@
 )
 
 const (
-	// userTimeout is how long what was sent may stay unacknowledged before the
-	// connection counts as lost. A connection that went silent would otherwise hold its request
-	// for good.
+	// userTimeout is how long sent data may stay unacknowledged before the kernel ends
+	// the connection. A request on a connection whose peer went silent would otherwise
+	// hang forever.
 	userTimeout = 700 * time.Millisecond
-	// keepAliveIdle and the two after find idle connections that went silent before a
-	// request is lost on one.
+	// keepAliveIdle, keepAliveInterval and keepAliveCount detect idle connections whose peer
+	// went silent before a request is lost on one.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = 500 * time.Millisecond
 	keepAliveCount    = 2
 )
 
-// Dialer opens TCP connections that end soon when they go silent.
+// Dialer returns a dialer with TCP keep-alives that detect a silent peer within about two seconds.
 func Dialer() net.Dialer {
 	return net.Dialer{
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
 	}
 }
 
-// LimitSilence has the kernel end the connection when its peer acknowledges nothing.
-// Without the option a deadline still ends each request, only later.
+// LimitSilence sets TCP_USER_TIMEOUT, so that the kernel ends the connection when its peer
+// acknowledges nothing. Errors are ignored: without the option each request still ends at its
+// deadline, only later.
 func LimitSilence(nc net.Conn) {
 	tcp, ok := nc.(*net.TCPConn)
 	if !ok {
--- a/internal/target/lane_test.go
+++ b/internal/target/subpool_test.go
@@ -22,14 +22,14 @@
 	return l
 }
 
-func tryFor(p *target.Pool, customer topology.CustomerID, patience time.Duration) (*target.Link, *result.Error) {
-	r := until(mono.System{}.Now().Add(patience))
+func tryFor(p *target.Pool, customer topology.CustomerID, timeout time.Duration) (*target.Link, *result.Error) {
+	r := until(mono.System{}.Now().Add(timeout))
 	r.Customer = customer
 	return p.Acquire(context.Background(), r, nil)
 }
 
 // Guards against a statement that runs on a connection that was opened for another customer.
-func TestAConnectionIsOneCustomers(t *testing.T) {
+func TestAConnectionServesOneCustomer(t *testing.T) {
 	f := &fakeTarget{}
 	p := newPool(f, 4)
 	acquireFor(t, p, "a").Release()
@@ -41,9 +41,9 @@
 	}
 }
 
-// Guards against places that stay with customers that are not there any more: the connection that was used
-// longest ago is closed for another customer's.
-func TestAnUnusedConnectionGivesItsPlaceUp(t *testing.T) {
+// Guards against idle connections of customers that send nothing any more and keep others from connecting: the
+// least recently used connection is closed to make room for another customer's.
+func TestAnIdleConnectionIsReplacedByAnotherCustomers(t *testing.T) {
 	f := &fakeTarget{}
 	p := newPool(f, 2)
 	acquireFor(t, p, "a").Release()
@@ -55,13 +55,13 @@
 		t.Fatalf("connections opened for %s", got)
 	}
 	if f.open() != 2 {
-		t.Fatalf("%d are open", f.open())
+		t.Fatalf("%d connections are open", f.open())
 	}
 }
 
-// Guards against a customer whose requests follow each other and keep the only connection from another
-// customer's request for good.
-func TestABusyCustomerDoesNotKeepAllPlaces(t *testing.T) {
+// Guards against a customer whose continuous requests keep the only connection, so that another customer's
+// request never gets one.
+func TestABusyCustomerDoesNotKeepAllConnections(t *testing.T) {
 	f := &fakeTarget{}
 	p := newPool(f, 1)
 	stop := make(chan struct{})
@@ -87,9 +87,9 @@
 	}
 }
 
-// Guards against a VM that takes itself for one without connections of its own, and opens one all the same:
-// in a play all VMs started again, and statements ran on other customers' connections.
-func TestADirectConnectionIsOneCustomersWhateverThePoolTakesItFor(t *testing.T) {
+// Guards against direct connections that serve several customers because the pool counts as indirect while the
+// driver connects directly: after a restart of all VMs, statements ran on other customers' connections.
+func TestADirectConnectionOfAnIndirectPoolServesOneCustomer(t *testing.T) {
 	f := &fakeTarget{}
 	p := newPool(f, 4)
 	p.SetShare(target.Share{Connections: 4, Indirect: true})
@@ -100,8 +100,8 @@
 	}
 }
 
-// Guards against connections that are opened for the system's own questions while others are open.
-func TestASystemRequestTakesAnyConnection(t *testing.T) {
+// Guards against connections that are opened for the proxy's own requests while others are idle.
+func TestAProxyRequestTakesAnyConnection(t *testing.T) {
 	f := &fakeTarget{}
 	p := newPool(f, 2)
 	acquireFor(t, p, "a").Release()
