--- a/internal/forward/customers_test.go
+++ b/internal/forward/customers_test.go
@@ -9,10 +9,10 @@
 	"github.com/buckthornshore/buckthornshore/pkg/waitlist"
 )
 
-// Guards against a holder that runs a request on another customer's connection: VMs that hold none send the
-// requests of all customers over the same connection to it.
+// Guards against a holder that runs a request on another customer's connection: the other VMs send the requests
+// of several customers over one connection to the holder.
 func TestAHolderKeepsCustomersApart(t *testing.T) {
-	db, pool := start(t)
+	db, pool := startPool(t)
 	for _, c := range []topology.CustomerID{"a", "b", "a"} {
 		deadline := mono.System{}.Now().Add(2e9)
 		l, failure := pool.Acquire(t.Context(), waitlist.Request{Useful: deadline, Deadline: deadline, Customer: c}, nil)
@@ -24,7 +24,7 @@
 		}
 		l.Release()
 	}
-	for i, c := range db.customersOf() {
+	for i, c := range db.recordedCustomers() {
 		if want := []topology.CustomerID{"a", "b", "a"}[i]; c != want {
 			t.Fatalf("statement %d ran on a connection of %q, want %q", i, c, want)
 		}
--- a/internal/forward/driver.go
+++ b/internal/forward/driver.go
@@ -19,32 +19,33 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// answerSlack is how much longer than its command's time an answer may take: the way
-// between two VMs and back.
+// answerSlack is how much longer than the command's remaining time an answer may take: the
+// round trip between two VMs.
 const answerSlack = 20 * time.Millisecond
 
 const (
-	// holdersTried is how many holders are tried for one connection, and holderTimeout how long
-	// each may take: together no longer than a pool waits for a connection.
-	holdersTried  = 3
-	holderTimeout = 130 * time.Millisecond
+	// maxHoldersTried is how many holders are tried for one connection, and holderTimeout bounds
+	// each try: together they take no longer than a pool's dial timeout.
+	maxHoldersTried = 3
+	holderTimeout   = 130 * time.Millisecond
 )
 
-// Driver connects to a target directly if this VM is one of its holders, and through a
-// holder if not.
+// Driver connects to a target directly if this VM is one of its holders, and otherwise through
+// a holder.
 type Driver struct {
 	directory *directory.Directory
 	direct    target.Driver
 	dialer    net.Dialer
 
 	mu sync.Mutex
-	// unreached holds until when each holder that was not reached comes after the others.
-	unreached map[topology.VMID]time.Time
+	// unreachable contains the holders that could not be reached, and until when they are tried
+	// last.
+	unreachable map[topology.VMID]time.Time
 }
 
-// NewDriver makes a driver over the direct one.
+// NewDriver returns a driver that uses direct for the targets of which this VM is a holder.
 func NewDriver(d *directory.Directory, direct target.Driver) *Driver {
-	return &Driver{directory: d, direct: direct, dialer: target.Dialer(), unreached: map[topology.VMID]time.Time{}}
+	return &Driver{directory: d, direct: direct, dialer: target.Dialer(), unreachable: map[topology.VMID]time.Time{}}
 }
 
 // Dial implements target.Driver.
@@ -53,7 +54,7 @@
 	if slices.Contains(holders, d.directory.Self().ID) || len(holders) == 0 {
 		return d.direct.Dial(ctx, t, customer)
 	}
-	// A holder that can't be reached tells nothing of the target.
+	// An unreachable holder shows nothing of the target's state, hence a result code of its own.
 	err := error(result.New(result.PoolerUnreachable, "no VM holds connections to %s", t.ID))
 	for _, id := range d.candidates(t, customer, holders) {
 		vm, ok := d.directory.VM(id)
@@ -66,15 +67,15 @@
 		}
 		var refusal *result.Error
 		if errors.As(err, &refusal) && refusal.Code != result.WrongPooler || ctx.Err() != nil {
-			return nil, err // It was reached.
+			return nil, err // The holder answered, or no time is left.
 		}
-		d.noteUnreached(id)
+		d.markUnreachable(id)
 	}
 	return nil, err
 }
 
-// candidates are the holders to try, in order: a customer's own first, otherwise drawn, which spreads the
-// load.
+// candidates returns the holders to try, in order: the customer's holder first, or in random order, which spreads
+// the load, if customers have none.
 func (d *Driver) candidates(t topology.Target, customer topology.CustomerID, holders []topology.VMID) []topology.VMID {
 	var ordered []topology.VMID
 	if d.directory.HolderFor(t, customer) != "" {
@@ -83,34 +84,34 @@
 		ordered = slices.Clone(holders)
 		rand.Shuffle(len(ordered), func(i, j int) { ordered[i], ordered[j] = ordered[j], ordered[i] })
 	}
-	ordered = d.reachedFirst(ordered)
-	return ordered[:min(len(ordered), holdersTried)]
+	ordered = d.reachableFirst(ordered)
+	return ordered[:min(len(ordered), maxHoldersTried)]
 }
 
-// unreachedFor is how long a holder that was not reached comes after the others: otherwise each
-// request that prefers it would wait for it in vain until it is known to be gone.
-const unreachedFor = time.Second
+// unreachableFor is how long a holder that could not be reached is tried last: otherwise each request
+// that prefers it would wait for a dial timeout until the VM is known to be dead.
+const unreachableFor = time.Second
 
-func (d *Driver) noteUnreached(id topology.VMID) {
+func (d *Driver) markUnreachable(id topology.VMID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.unreached[id] = time.Now().Add(unreachedFor)
+	d.unreachable[id] = time.Now().Add(unreachableFor)
 }
 
-// reachedFirst moves the holders that were not reached just now to the end.
-func (d *Driver) reachedFirst(ids []topology.VMID) []topology.VMID {
+// reachableFirst moves the holders that recently could not be reached to the end.
+func (d *Driver) reachableFirst(ids []topology.VMID) []topology.VMID {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
 	var first, last []topology.VMID
 	for _, id := range ids {
-		until, ok := d.unreached[id]
+		until, ok := d.unreachable[id]
 		switch {
 		case ok && now.Before(until):
 			last = append(last, id)
 			continue
 		case ok:
-			delete(d.unreached, id)
+			delete(d.unreachable, id)
 		}
 		first = append(first, id)
 	}
@@ -133,26 +134,26 @@
 	return c, nil
 }
 
-// conn is a connection to a holder. One goroutine uses it at a time.
+// conn is a connection to a holder. Only one goroutine may use it at a time.
 type conn struct {
 	nc     net.Conn
 	stream *stream
-	// owed: the response to the last request has not been read.
-	owed bool
-	// shown is what the last response shows of the target.
-	shown target.Evidence
+	// pending is set while the response to the last request has not been read.
+	pending bool
+	// evidence is what the last response shows of the target's state.
+	evidence target.Evidence
 }
 
 // Evidence implements target.Witness.
-func (c *conn) Evidence() target.Evidence { return c.shown }
+func (c *conn) Evidence() target.Evidence { return c.evidence }
 
 func (c *conn) Close() { c.nc.Close() }
 
 func (c *conn) open(ctx context.Context, id topology.TargetID) error {
 	if deadline, ok := ctx.Deadline(); ok {
-		_ = c.nc.SetDeadline(deadline) // A closed connection shows with the next call.
+		_ = c.nc.SetDeadline(deadline) // If the connection is closed, the next call fails.
 	}
-	if err := c.stream.send(opening{Target: id}); err != nil {
+	if err := c.stream.send(openRequest{Target: id}); err != nil {
 		return err
 	}
 	r, err := c.receive()
@@ -170,9 +171,9 @@
 	if err := c.stream.receive(r); err != nil {
 		return nil, err
 	}
-	c.owed, c.shown = false, target.Evidence{Direct: true}
-	if r.Own != nil {
-		c.shown = *r.Own
+	c.pending, c.evidence = false, target.Evidence{Direct: true}
+	if r.HolderEvidence != nil {
+		c.evidence = *r.HolderEvidence
 	}
 	return r, nil
 }
@@ -182,8 +183,8 @@
 	if err := c.nc.SetDeadline(deadline.Add(answerSlack)); err != nil {
 		return statement.Answer{}, err
 	}
-	c.owed = true
-	if err := c.stream.send(request{Command: cmd, Left: time.Until(deadline)}); err != nil {
+	c.pending = true
+	if err := c.stream.send(request{Command: cmd, Remaining: time.Until(deadline)}); err != nil {
 		return statement.Answer{}, err
 	}
 	return c.result()
@@ -202,17 +203,17 @@
 	return r.answer(), nil
 }
 
-// Finish implements target.Conn. The holder has given the target's connection back by
-// itself, which rolled a transaction back.
+// Finish implements target.Conn. After a late answer the holder has already released its
+// connection to the target, which rolled back an open transaction.
 func (c *conn) Finish(deadline time.Time) (statement.Answer, error) {
-	if !c.owed {
+	if !c.pending {
 		return statement.Done(statement.Idle), nil
 	}
 	if err := c.nc.SetDeadline(deadline); err != nil {
 		return statement.Answer{}, err
 	}
 	a, err := c.result()
-	if errors.Is(err, os.ErrDeadlineExceeded) && !c.owed {
+	if errors.Is(err, os.ErrDeadlineExceeded) && !c.pending {
 		return statement.Done(statement.Idle), nil
 	}
 	return a, err
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -22,23 +22,24 @@
 	"github.com/buckthornshore/buckthornshore/pkg/waitlist"
 )
 
-// database is the twin of a target that takes one connection a few VMs.
+// database is a fake target that records the commands it runs.
 type database struct {
 	mu   sync.Mutex
 	sent []string
-	on   []int // the connection of each
-	// holders are the customers of the statements' connections.
-	holders []topology.CustomerID
-	opened  int
-	answer  func(target.Command) (statement.Answer, error)
-	dark    bool // no connection can be opened
+	// connections contains the number, and customers the customer, of the connection that ran each
+	// command.
+	connections []int
+	customers   []topology.CustomerID
+	opened      int
+	answer      func(target.Command) (statement.Answer, error)
+	unreachable bool // no connection can be opened
 }
 
 func (d *database) Dial(_ context.Context, _ topology.Target, customer topology.CustomerID) (target.Conn, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.dark {
-		return nil, errDark
+	if d.unreachable {
+		return nil, errUnreachable
 	}
 	d.opened++
 	return &databaseConn{database: d, state: statement.Idle, number: d.opened, customer: customer}, nil
@@ -51,11 +52,11 @@
 	customer topology.CustomerID
 }
 
-// customersOf are the customers of the connections on which the statements ran, in turn.
-func (d *database) customersOf() []topology.CustomerID {
+// recordedCustomers returns the customer of the connection that ran each command, in order.
+func (d *database) recordedCustomers() []topology.CustomerID {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return slices.Clone(d.holders)
+	return slices.Clone(d.customers)
 }
 
 func (c *databaseConn) Close() {}
@@ -67,9 +68,9 @@
 func (c *databaseConn) Run(_ time.Time, cmd target.Command) (statement.Answer, error) {
 	c.database.mu.Lock()
 	defer c.database.mu.Unlock()
-	c.database.sent = append(c.database.sent, name(cmd))
-	c.database.on = append(c.database.on, c.number)
-	c.database.holders = append(c.database.holders, c.customer)
+	c.database.sent = append(c.database.sent, commandText(cmd))
+	c.database.connections = append(c.database.connections, c.number)
+	c.database.customers = append(c.database.customers, c.customer)
 	if c.database.answer != nil {
 		if a, err := c.database.answer(cmd); err != nil || a.Failure != nil {
 			return a, err
@@ -87,7 +88,7 @@
 	return statement.Answer{Rows: []string{"row of " + cmd.Text}, Digest: "d", State: c.state, Position: position.Position{Term: 1, Index: 7}}, nil
 }
 
-func name(c target.Command) string {
+func commandText(c target.Command) string {
 	switch c.Kind {
 	case target.Caller:
 		return c.Text
@@ -113,24 +114,24 @@
 	return strings.Join(d.sent, ", ")
 }
 
-// start runs a holder, and returns a pool of a VM that is none.
-func start(t *testing.T) (*database, *target.Pool) {
+// startPool runs a holder, and returns the pool of a VM that isn't one.
+func startPool(t *testing.T) (*database, *target.Pool) {
 	t.Helper()
-	db, driver := startAmong(t, nil, 3)
+	db, driver := startDriver(t, nil, 3)
 	return db, target.NewPool(theTarget, 4, driver, mono.System{}, slog.New(slog.DiscardHandler))
 }
 
 var theTarget = topology.Target{ID: "t", Group: "g", DataCentre: "dc", Address: "x"}
 
-// startAmong runs a holder among other VMs of a target with so many connections, and returns the
-// driver of a VM that holds none.
-func startAmong(t *testing.T, others []topology.VM, connections int) (*database, target.Driver) {
+// startDriver runs a holder among other VMs, for a target that takes the given number of
+// connections, and returns the driver of a VM that isn't a holder.
+func startDriver(t *testing.T, others []topology.VM, connections int) (*database, target.Driver) {
 	t.Helper()
 	db, driver, _ := startHolder(t, others, connections)
 	return db, driver
 }
 
-// startHolder is startAmong with what the holder knows.
+// startHolder is startDriver and also returns the holder's directory.
 func startHolder(t *testing.T, others []topology.VM, connections int) (*database, target.Driver, *directory.Directory) {
 	t.Helper()
 	db := &database{}
@@ -155,18 +156,18 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	known := directoryOf(holder)
-	pools := target.NewPools(known, forward.NewDriver(known, db), mono.System{}, log)
+	holderDirectory := directoryOf(holder)
+	pools := target.NewPools(holderDirectory, forward.NewDriver(holderDirectory, db), mono.System{}, log)
 	go pools.Run(ctx)
 	for _, ok := pools.Get("t"); !ok; _, ok = pools.Get("t") {
 		time.Sleep(time.Millisecond)
 	}
-	server := &forward.Server{Directory: known, Pools: pools, Clock: mono.System{}, Log: log}
+	server := &forward.Server{Directory: holderDirectory, Pools: pools, Clock: mono.System{}, Log: log}
 	go server.Serve(ctx, l)
-	return db, forward.NewDriver(directoryOf(other), db), known
+	return db, forward.NewDriver(directoryOf(other), db), holderDirectory
 }
 
-func take(t *testing.T, p *target.Pool) *target.Link {
+func acquire(t *testing.T, p *target.Pool) *target.Link {
 	t.Helper()
 	l, failure := p.Acquire(context.Background(), until(mono.System{}.Now().Add(2*time.Second)), nil)
 	if failure != nil {
@@ -178,8 +179,8 @@
 func soon() time.Time { return time.Now().Add(2 * time.Second) }
 
 func TestAStatementGoesThroughAHolder(t *testing.T) {
-	db, pool := start(t)
-	l := take(t, pool)
+	db, pool := startPool(t)
+	l := acquire(t, pool)
 	if err := l.Adapt(soon(), map[string]string{"a": "1"}); err != nil {
 		t.Fatal(err)
 	}
@@ -193,11 +194,11 @@
 	}
 }
 
-// A transaction of one session keeps its connection at the holder, so that no statement of
-// another session gets inside, although both go through the same holder.
+// Guards against a statement that runs inside another session's transaction because both go
+// through the same holder: a transaction keeps its connection at the holder.
 func TestATransactionKeepsItsConnection(t *testing.T) {
-	db, pool := start(t)
-	one, two := take(t, pool), take(t, pool)
+	db, pool := startPool(t)
+	one, two := acquire(t, pool), acquire(t, pool)
 	if err := one.Begin(soon(), false, position.Position{}); err != nil {
 		t.Fatal(err)
 	}
@@ -212,16 +213,16 @@
 	if got := db.statements(); got != "begin, write a, read b, commit" {
 		t.Fatalf("at the target: %s", got)
 	}
-	if on := db.on; on[0] != on[1] || on[1] != on[3] || on[2] == on[0] {
-		t.Fatalf("connections %v", on)
+	if connections := db.connections; connections[0] != connections[1] || connections[1] != connections[3] || connections[2] == connections[0] {
+		t.Fatalf("connections %v", connections)
 	}
 }
 
-// The VM whose caller has a transaction open dies: the holder rolls it back, or its
-// connection would be lost to everybody.
-func TestAHolderRollsBackForAVMThatIsGone(t *testing.T) {
-	db, pool := start(t)
-	l := take(t, pool)
+// Guards against a holder's connection that stays in a transaction after the VM that opened
+// it has ended: the holder rolls the transaction back.
+func TestAHolderRollsBackWhenAVMEnds(t *testing.T) {
+	db, pool := startPool(t)
+	l := acquire(t, pool)
 	if err := l.Begin(soon(), false, position.Position{}); err != nil {
 		t.Fatal(err)
 	}
@@ -235,45 +236,45 @@
 	t.Fatalf("at the target: %s", db.statements())
 }
 
-// The target's connection breaks beyond the holder after a write was sent. That it has
-// not run must not be concluded.
-func TestALossBeyondTheHolderIsNoRefusal(t *testing.T) {
-	db, pool := start(t)
-	l := take(t, pool)
+// Guards against a write that is reported as not run though its outcome is unknown: the
+// connection between the holder and the target breaks after the write was sent.
+func TestAConnectionLostByTheHolderIsNoRefusal(t *testing.T) {
+	db, pool := startPool(t)
+	l := acquire(t, pool)
 	db.answer = func(target.Command) (statement.Answer, error) { return statement.Answer{}, errors.New("reset") }
 	if a, err := l.Run(soon(), target.Command{ID: "1", Text: "write a"}); err == nil {
 		t.Fatalf("%+v", a)
 	}
 	l.Release()
 	db.answer = func(target.Command) (statement.Answer, error) { return statement.Answer{}, os.ErrDeadlineExceeded }
-	l = take(t, pool)
+	l = acquire(t, pool)
 	if _, err := l.Run(soon(), target.Command{ID: "2", Text: "write b"}); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatalf("a late answer: %v", err)
 	}
 }
 
-// A primary goes dark. A VM that reaches it through a holder is refused by the holder for each
-// request, while the holder keeps the values of its sessions all the same. None of that is an
-// answer of the primary: taken for one, most VMs vouched for it, and callers' writes waited for
-// six seconds until its registration had lapsed.
+// Guards against answers that a holder gives without the target and that count as the target's.
+// The holder of an unreachable primary still accepts session values and refuses each request; when
+// these counted, most VMs reported the primary as alive, and callers' writes waited for six
+// seconds until its registration had expired.
 func TestAHoldersWordIsNoAnswerOfTheTarget(t *testing.T) {
-	db, pool := start(t)
-	l := take(t, pool)
+	db, pool := startPool(t)
+	l := acquire(t, pool)
 	if _, err := l.Run(soon(), target.Command{ID: "1", Text: "read x"}); err != nil {
 		t.Fatal(err)
 	}
 	l.Release()
 	answered := pool.Load().LastAnswer
 	db.mu.Lock()
-	db.dark = true
-	db.answer = func(target.Command) (statement.Answer, error) { return statement.Answer{}, errDark }
+	db.unreachable = true
+	db.answer = func(target.Command) (statement.Answer, error) { return statement.Answer{}, errUnreachable }
 	db.mu.Unlock()
 	for end := time.Now().Add(500 * time.Millisecond); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		l := take(t, pool)
+		l := acquire(t, pool)
 		if err := l.Adapt(soon(), map[string]string{"a": time.Now().String()}); err != nil {
 			t.Fatal(err)
 		}
-		_, _ = l.Run(time.Now().Add(50*time.Millisecond), target.Command{ID: "2", Text: "read x"}) // It fails, one way or the other.
+		_, _ = l.Run(time.Now().Add(50*time.Millisecond), target.Command{ID: "2", Text: "read x"}) // Fails with an error or a failure.
 		l.Release()
 	}
 	load := pool.Load()
@@ -281,19 +282,19 @@
 		t.Fatalf("failing for %v, answered %v after the last answer", load.FailingFor, load.LastAnswer.Sub(answered))
 	}
 	db.mu.Lock()
-	db.dark, db.answer = false, nil
+	db.unreachable, db.answer = false, nil
 	db.mu.Unlock()
 	for end := time.Now().Add(5 * time.Second); pool.Load().FailingFor > 0; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("still failing though the target is back")
+			t.Fatal("still failing though the target answers again")
 		}
 		pool.Tick()
 	}
 }
 
-var errDark = errors.New("dark")
+var errUnreachable = errors.New("unreachable")
 
-// until is a request that is of use for as long as it may wait.
+// until returns a request whose objective and deadline are both the given time.
 func until(deadline mono.Time) waitlist.Request {
 	return waitlist.Request{Priority: 1, Useful: deadline, Deadline: deadline}
 }
--- a/internal/forward/holders_test.go
+++ b/internal/forward/holders_test.go
@@ -9,14 +9,14 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Guards against a target that counts as failing since one of its holders has ended: another holder
-// is tried.
-func TestAHolderThatEndedIsPassedOver(t *testing.T) {
+// Guards against a target that counts as failing because one of its holders has ended: another
+// holder is tried.
+func TestAnUnreachableHolderIsSkipped(t *testing.T) {
 	others := []topology.VM{{ID: "ended", DataCentre: "dc", PeerAddress: "127.0.0.1:1"}}
 	for i := range 12 {
 		others = append(others, topology.VM{ID: topology.VMID(fmt.Sprintf("far-%d", i)), DataCentre: "far"})
 	}
-	_, driver := startAmong(t, others, 10)
+	_, driver := startDriver(t, others, 10)
 	for range 40 {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		c, err := driver.Dial(ctx, theTarget, "")
--- a/internal/forward/leaving_test.go
+++ b/internal/forward/leaving_test.go
@@ -12,15 +12,15 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// Guards against work that a VM sends to a target whose time is over through a holder that knows it, and against
-// the holder's refusal passing for an answer of the target.
-func TestAHolderSendsNothingToATargetAfterItsTime(t *testing.T) {
-	db, driver, known := startHolder(t, nil, 3)
+// Guards against new work that reaches a leaving target after its drain time through a holder, and against the
+// holder's refusal counting as an answer of the target.
+func TestAHolderRefusesNewWorkAfterTheDrainTime(t *testing.T) {
+	db, driver, holderDirectory := startHolder(t, nil, 3)
 	pool := target.NewPool(theTarget, 4, driver, mono.System{}, slog.New(slog.DiscardHandler))
-	l := take(t, pool)
+	l := acquire(t, pool)
 	leaving := theTarget
 	leaving.Leaving = true
-	known.SetTarget(directory.Target{Target: leaving}) // Since when is not known.
+	holderDirectory.SetTarget(directory.Target{Target: leaving}) // LeavingSince isn't known, so the target gets no new work.
 	var refusal *result.Error
 	for end := time.Now().Add(2 * time.Second); refusal == nil && time.Now().Before(end); time.Sleep(time.Millisecond) {
 		a, err := l.Run(soon(), target.Command{ID: "1", Text: "read a"})
@@ -41,6 +41,6 @@
 		t.Fatalf("at the target: %s", got)
 	}
 	if pool.Load().LastAnswer > refused {
-		t.Fatal("the refusal passes for an answer of the target")
+		t.Fatal("the refusal counted as an answer of the target")
 	}
 }
--- a/internal/forward/message.go
+++ b/internal/forward/message.go
@@ -1,6 +1,6 @@
-// Package forward lets a VM use the connections that another VM holds to a target,
-// where the target takes too few for all VMs. To the callers' side it is a
-// target.Driver like any other. VMs of a data centre also get changes of the store from each other by it.
+// Package forward lets a VM use the connections of another VM, a holder, to a target that
+// takes too few connections for all VMs. Its Driver is a target.Driver. VMs of a data centre
+// also use it to get changes of the store from each other.
 package forward
 
 import (
@@ -19,8 +19,8 @@
 	"github.com/buckthornshore/buckthornshore/pkg/waitlist"
 )
 
-// stream reads and writes messages on a connection. Each is written at once: the encoder by
-// itself writes every field on its own, in a packet each.
+// stream reads and writes messages on a connection. Each message is buffered and written at
+// once: the encoder writes each field separately, which would send a packet for each.
 type stream struct {
 	out *bufio.Writer
 	enc *msgpack.Encoder
@@ -30,12 +30,12 @@
 func newStream(nc net.Conn) *stream {
 	out := bufio.NewWriterSize(nc, writerSize)
 	enc := msgpack.NewEncoder(out)
-	enc.UseArrayEncodedStructs(true) // Without the fields' names.
+	enc.UseArrayEncodedStructs(true) // Omits the field names.
 	enc.UseCompactInts(true)
 	return &stream{out: out, enc: enc, dec: msgpack.NewDecoder(nc)}
 }
 
-// writerSize of a connection's buffer: a few times the usual message.
+// writerSize is the size of a connection's write buffer in bytes: a few times that of the usual message.
 const writerSize = 1024
 
 func (s *stream) send(message any) error {
@@ -47,8 +47,9 @@
 
 func (s *stream) receive(message any) error { return s.dec.Decode(message) }
 
-// opening is the first message of a connection: it leads to a target, or asks for rows.
-type opening struct {
+// openRequest is the first message on a connection: it names a target for the requests that follow,
+// or requests rows.
+type openRequest struct {
 	Target topology.TargetID `msgpack:"t"`
 	Rows   *rowsRequest      `msgpack:"r"`
 }
@@ -56,35 +57,37 @@
 // request is one command.
 type request struct {
 	Command target.Command `msgpack:"c"`
-	// Left is how much time the command has. Clocks of two VMs are not compared.
-	Left time.Duration `msgpack:"l"`
+	// Remaining is the time that remains for the command. It is relative, since the clocks of two VMs
+	// may differ.
+	Remaining time.Duration `msgpack:"l"`
 }
 
-// turn is the request among those that wait at the holder.
-func (r *request) turn(now mono.Time) waitlist.Request {
-	useful := r.Left
+// waitlistRequest returns the request for the holder's waitlist.
+func (r *request) waitlistRequest(now mono.Time) waitlist.Request {
+	useful := r.Remaining
 	if r.Command.Useful > 0 {
 		useful = min(useful, r.Command.Useful)
 	}
 	return waitlist.Request{
-		Priority: r.Command.Priority, Useful: now.Add(useful), Deadline: now.Add(r.Left),
+		Priority: r.Command.Priority, Useful: now.Add(useful), Deadline: now.Add(r.Remaining),
 		Customer: r.Command.Customer, Anyone: r.Command.Anyone,
 	}
 }
 
-// response answers an opening or a request.
+// response answers an openRequest or a request.
 type response struct {
 	Rows     []string          `msgpack:"r"`
 	Digest   string            `msgpack:"d"`
 	State    statement.State   `msgpack:"s"`
 	Position position.Position `msgpack:"p"`
 	Failure  *result.Error     `msgpack:"f"`
-	// Lost: the connection to the target broke, and whether the command ran is not
-	// known. Late: the target did not answer in time.
+	// Lost is the error if the connection to the target broke, so that it isn't known
+	// whether the command ran. Late is set if the target did not answer in time.
 	Lost string `msgpack:"x"`
 	Late bool   `msgpack:"o"`
-	// Own is set if the holder answered by itself: how it finds the target.
-	Own *target.Evidence `msgpack:"w"`
+	// HolderEvidence is set if the holder answered without the target. It is the target's state as
+	// seen by the holder.
+	HolderEvidence *target.Evidence `msgpack:"w"`
 }
 
 func responseOf(a statement.Answer) response {
--- a/internal/forward/message_test.go
+++ b/internal/forward/message_test.go
@@ -20,12 +20,12 @@
 	return len(p), nil
 }
 
-// A statement goes through another VM. It is one packet of little more than its text: in two
-// dozen small ones, with the names of all fields, it took 30 ms longer on a small VM.
+// Guards against a forwarded statement that is sent in more than one packet, or with the names of
+// its fields: in two dozen small packets it took 30 ms longer on a small VM.
 func TestAMessageIsWrittenAtOnce(t *testing.T) {
 	c := &countingConn{}
 	cmd := target.Command{Kind: target.Execute, ID: "5c0e7a21d94b36f8", Name: "r1x2y3z4", Value: "1a4", Priority: 1}
-	if err := newStream(c).send(request{Command: cmd, Left: time.Second}); err != nil {
+	if err := newStream(c).send(request{Command: cmd, Remaining: time.Second}); err != nil {
 		t.Fatal(err)
 	}
 	if c.writes != 1 || c.bytes > 100 {
--- a/internal/forward/rows.go
+++ b/internal/forward/rows.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// rowsTimeout bounds how long another VM is waited for; the store is asked after that.
+	// rowsTimeout bounds a request for rows to another VM. If it fails, the rows are read from the store.
 	rowsTimeout = 800 * time.Millisecond
-	// rowsHope is how long a VM that has not got the change yet has its asker wait: as long as the store
-	// takes to answer it.
-	rowsHope = 500 * time.Millisecond
-	// rowsMost bounds what one VM tells another, in bytes: more would fill its link for as long as its
-	// callers notice. The store's link is wider.
-	rowsMost = 64 << 10
+	// rowsHoldTimeout is how long a VM waits for a requested version that it doesn't have yet before it answers:
+	// as long as the store takes to answer the same request.
+	rowsHoldTimeout = 500 * time.Millisecond
+	// maxRowsBytes is the largest answer in bytes that one VM sends another: a larger one would fill its network
+	// link for long enough that its callers notice. The store has a faster link.
+	maxRowsBytes = 64 << 10
 )
 
-// rowsRequest asks for the rows of a feed as of a version, or a later one.
+// rowsRequest requests the rows of a feed as of a version or a later one.
 type rowsRequest struct {
 	Feed    directory.Feed `msgpack:"f"`
 	Version uint64         `msgpack:"v"`
 }
 
-// rowsAnswer is what it is answered.
-type rowsAnswer struct {
+// rowsResponse answers a rowsRequest.
+type rowsResponse struct {
 	Kept    directory.Kept `msgpack:"k"`
 	Failure *result.Error  `msgpack:"f"`
 }
@@ -41,17 +41,17 @@
 
 // Fetch implements directory.Neighbours.
 func (n Neighbours) Fetch(ctx context.Context, f directory.Feed, version uint64) (directory.Kept, bool) {
-	teller, ok := placement.Teller(n.Directory.Self(), n.Directory.VMs(), version)
+	source, ok := placement.Teller(n.Directory.Self(), n.Directory.VMs(), version)
 	if !ok {
 		return directory.Kept{}, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, rowsTimeout)
 	defer cancel()
-	kept, err := askRows(ctx, teller.PeerAddress, rowsRequest{Feed: f, Version: version})
+	kept, err := fetchRows(ctx, source.PeerAddress, rowsRequest{Feed: f, Version: version})
 	return kept, err == nil && kept.Version >= version
 }
 
-func askRows(ctx context.Context, address string, r rowsRequest) (directory.Kept, error) {
+func fetchRows(ctx context.Context, address string, r rowsRequest) (directory.Kept, error) {
 	dialer := target.Dialer()
 	dialer.Timeout = holderTimeout
 	nc, err := dialer.DialContext(ctx, "tcp", address)
@@ -60,13 +60,13 @@
 	}
 	defer nc.Close()
 	target.LimitSilence(nc)
-	deadline, _ := ctx.Deadline() // There is one.
-	_ = nc.SetDeadline(deadline)  // A closed connection shows with the next call.
+	deadline, _ := ctx.Deadline() // Fetch sets one.
+	_ = nc.SetDeadline(deadline)  // If the connection is closed, the next call fails.
 	s := newStream(nc)
-	if err := s.send(opening{Rows: &r}); err != nil {
+	if err := s.send(openRequest{Rows: &r}); err != nil {
 		return directory.Kept{}, err
 	}
-	var a rowsAnswer
+	var a rowsResponse
 	if err := s.receive(&a); err != nil {
 		return directory.Kept{}, err
 	}
@@ -76,20 +76,20 @@
 	return a.Kept, nil
 }
 
-// tellRows answers with the rows that this VM keeps.
-func (s *Server) tellRows(nc net.Conn, peer *stream, r rowsRequest) {
-	ctx, cancel := context.WithTimeout(context.Background(), rowsHope)
+// sendRows answers a request for rows from those that this VM keeps.
+func (s *Server) sendRows(nc net.Conn, peer *stream, r rowsRequest) {
+	ctx, cancel := context.WithTimeout(context.Background(), rowsHoldTimeout)
 	defer cancel()
 	kept, ok := s.Directory.Relay().AwaitKept(ctx, r.Feed, r.Version)
-	a := rowsAnswer{Kept: kept}
+	a := rowsResponse{Kept: kept}
 	switch {
 	case !ok:
-		a = rowsAnswer{Failure: result.New(result.NotFound, "version %d has not come", r.Version)}
-	case kept.Size() > rowsMost:
-		a = rowsAnswer{Failure: result.New(result.MessageTooLarge, "%d bytes", kept.Size())}
+		a = rowsResponse{Failure: result.New(result.NotFound, "version %d has not come", r.Version)}
+	case kept.Size() > maxRowsBytes:
+		a = rowsResponse{Failure: result.New(result.MessageTooLarge, "%d bytes", kept.Size())}
 	}
 	_ = nc.SetWriteDeadline(time.Now().Add(rowsTimeout))
 	if err := peer.send(a); err != nil {
-		s.Log.Debug("event=rows_not_told", "to", nc.RemoteAddr(), "error", err)
+		s.Log.Debug("event=rows_send_failed", "to", nc.RemoteAddr(), "error", err)
 	}
 }
--- a/internal/forward/server.go
+++ b/internal/forward/server.go
@@ -19,7 +19,7 @@
 	"github.com/buckthornshore/buckthornshore/pkg/statement"
 )
 
-// Server answers other VMs over the connections that this VM holds.
+// Server runs the commands of other VMs over this VM's connections to the targets.
 type Server struct {
 	Directory *directory.Directory
 	Pools     *target.Pools
@@ -27,8 +27,8 @@
 	Log       *slog.Logger
 }
 
-// acceptRetry after a failure such as too many open files.
-const acceptRetry = 20 * time.Millisecond
+// acceptRetryPause is the pause after a failed accept, which too many open files can cause, for example.
+const acceptRetryPause = 20 * time.Millisecond
 
 // Serve accepts connections until ctx ends.
 func (s *Server) Serve(ctx context.Context, l net.Listener) {
@@ -41,7 +41,7 @@
 		}
 		if err != nil {
 			s.Log.Warn("event=forward_accept_failed", "error", err)
-			time.Sleep(acceptRetry)
+			time.Sleep(acceptRetryPause)
 			continue
 		}
 		go func() {
@@ -54,18 +54,18 @@
 func (s *Server) handle(nc net.Conn) {
 	target.LimitSilence(nc)
 	peer := newStream(nc)
-	var o opening
+	var o openRequest
 	if err := peer.receive(&o); err != nil {
 		return
 	}
 	if o.Rows != nil {
-		s.tellRows(nc, peer, *o.Rows)
+		s.sendRows(nc, peer, *o.Rows)
 		return
 	}
 	pool, failure := s.poolOf(o)
 	opened := response{Failure: failure, State: statement.Idle}
 	if pool != nil {
-		opened.Own = s.evidence(pool)
+		opened.HolderEvidence = s.evidenceOf(pool)
 	}
 	if err := peer.send(opened); err != nil || failure != nil {
 		return
@@ -83,9 +83,9 @@
 	}
 }
 
-// poolOf refuses what this VM does not hold itself: two VMs whose lists differ would
-// otherwise pass a request back and forth.
-func (s *Server) poolOf(o opening) (*target.Pool, *result.Error) {
+// poolOf returns the pool of the requested target. It refuses targets of which this VM isn't a
+// holder: two VMs whose lists of holders differ would otherwise pass a request back and forth.
+func (s *Server) poolOf(o openRequest) (*target.Pool, *result.Error) {
 	t, ok := s.Directory.Target(o.Target)
 	if !ok || !slices.Contains(s.Directory.Holders(t.Target), s.Directory.Self().ID) {
 		return nil, result.New(result.WrongPooler, "%s is not held here", o.Target)
@@ -97,8 +97,8 @@
 	return pool, nil
 }
 
-// session is one connection of another VM: what it set up, and the target's connection
-// while it has a transaction open.
+// session is the state of one connection from another VM: the values and prepared statements
+// set up on it, and the link to the target while a transaction is open.
 type session struct {
 	server   *Server
 	pool     *target.Pool
@@ -109,7 +109,7 @@
 
 func (s *session) release() {
 	if s.link != nil {
-		s.link.Release() // Rolls an open transaction back.
+		s.link.Release() // Rolls back an open transaction.
 		s.link = nil
 	}
 }
@@ -121,13 +121,13 @@
 	return statement.Idle
 }
 
-// own is what the holder answers by itself.
-func (s *session) own() response {
-	return response{State: s.state(), Own: s.server.evidence(s.pool)}
+// holderResponse returns a response that the holder gives without the target.
+func (s *session) holderResponse() response {
+	return response{State: s.state(), HolderEvidence: s.server.evidenceOf(s.pool)}
 }
 
-// evidence is how this VM finds a target.
-func (s *Server) evidence(pool *target.Pool) *target.Evidence {
+// evidenceOf returns a target's state as seen by this VM.
+func (s *Server) evidenceOf(pool *target.Pool) *target.Evidence {
 	load := pool.Load()
 	e := &target.Evidence{Failing: load.FailingFor > 0, AnsweredAgo: target.NeverAnswered}
 	if load.LastAnswer != 0 {
@@ -146,30 +146,30 @@
 		}
 		values[c.Name] = c.Value
 		s.values = values
-		return s.own()
+		return s.holderResponse()
 	case target.PrepareRead, target.PrepareWrite:
 		s.prepared[c.Name] = statement.Prepared{Shape: c.Value, Writes: c.Kind == target.PrepareWrite}
-		return s.own()
+		return s.holderResponse()
 	case target.Rollback:
 		s.release()
-		return s.own()
+		return s.holderResponse()
 	case target.Reset:
 		s.values = nil
 		clear(s.prepared)
 	}
-	return s.atTarget(r)
+	return s.runAtTarget(r)
 }
 
-// atTarget runs a command over a connection to the target, which the session keeps while
-// a transaction is open.
-func (s *session) atTarget(r request) response {
-	deadline := time.Now().Add(r.Left)
+// runAtTarget runs a command over a link to the target, which the session keeps while a
+// transaction is open.
+func (s *session) runAtTarget(r request) response {
+	deadline := time.Now().Add(r.Remaining)
 	if s.link == nil {
 		ctx, cancel := context.WithDeadline(context.Background(), deadline)
 		defer cancel()
-		link, failure := s.pool.Acquire(ctx, r.turn(s.server.Clock.Now()), s.values)
+		link, failure := s.pool.Acquire(ctx, r.waitlistRequest(s.server.Clock.Now()), s.values)
 		if failure != nil {
-			r := s.own()
+			r := s.holderResponse()
 			r.Failure = failure
 			return r
 		}
@@ -183,13 +183,14 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return response{Late: true}
 	case err != nil:
-		return lostOrRefused(err)
+		return errorResponse(err)
 	}
 	return responseOf(answer)
 }
 
-// lostOrRefused passes a refusal of the target on, which proves that nothing ran.
-func lostOrRefused(err error) response {
+// errorResponse returns the response for an error: a refusal by the target, which proves that
+// nothing ran, or else a lost connection.
+func errorResponse(err error) response {
 	var e *result.Error
 	if errors.As(err, &e) && e.Ran == result.NotRun {
 		return response{Failure: e, State: statement.Idle}
