--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait holds the one way to wait that ends with a context.
+// Package wait provides waits that end with a context.
 package wait
 
 import (
@@ -18,7 +18,7 @@
 	}
 }
 
-// Until waits until the channel is closed, for d at most, or until ctx ends.
+// Until waits until the channel is closed, d has passed, or ctx ends.
 func Until(ctx context.Context, closed <-chan struct{}, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
