--- a/internal/liveness/liveness.go
+++ b/internal/liveness/liveness.go
@@ -1,5 +1,5 @@
-// Package liveness asks VMs in doubt whether they live. Everything else that is
-// known of them comes from messages that go anyway.
+// Package liveness probes suspect and dead VMs with heartbeats. The state of all other
+// VMs follows from messages that are sent anyway.
 package liveness
 
 import (
@@ -14,43 +14,43 @@
 )
 
 const (
-	// period of the questions to suspect VMs.
+	// period is the time between two probes of a suspect VM.
 	period = 200 * time.Millisecond
-	// deadEvery is how many periods pass between questions to a dead VM: they
-	// find out that a cut has healed.
-	deadEvery = 10
-	// timeout of one question.
+	// deadEveryPeriods is the number of periods between two probes of a dead VM, which detect
+	// that a network partition has ended.
+	deadEveryPeriods = 10
+	// timeout bounds one probe.
 	timeout = 300 * time.Millisecond
 )
 
-// Directory knows the states of the VMs.
+// Directory provides the VMs and their states.
 type Directory interface {
 	Self() topology.VM
 	Statuses() []membership.Status
 	VM(topology.VMID) (topology.VM, bool)
 }
 
-// Prober asks. Safe for concurrent use.
+// Prober sends heartbeats to other VMs. Safe for concurrent use.
 type Prober struct {
 	directory Directory
 	peers     *peers.Table
 
-	mu    sync.Mutex
-	asked map[topology.VMID]bool // questions under way
+	mu      sync.Mutex
+	probing map[topology.VMID]bool // VMs that are being probed
 }
 
-// New makes a prober.
+// New returns a prober.
 func New(d Directory, p *peers.Table) *Prober {
-	return &Prober{directory: d, peers: p, asked: map[topology.VMID]bool{}}
+	return &Prober{directory: d, peers: p, probing: map[topology.VMID]bool{}}
 }
 
-// Run asks until ctx ends.
+// Run probes suspect and dead VMs periodically until ctx ends.
 func (p *Prober) Run(ctx context.Context) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
 	for n := 0; ; n++ {
 		for _, s := range p.directory.Statuses() {
-			if s.State == membership.Suspect || s.State == membership.Dead && n%deadEvery == 0 {
+			if s.State == membership.Suspect || s.State == membership.Dead && n%deadEveryPeriods == 0 {
 				p.Ask(ctx, s.VM.ID)
 			}
 		}
@@ -62,38 +62,38 @@
 	}
 }
 
-// Ask asks one VM now, unless a question is under way. The answer, or its
-// absence, becomes evidence by itself.
+// Ask probes one VM now, unless a probe of it is already running. It returns no result:
+// the answer, or its absence, updates the VM's state like any other message.
 func (p *Prober) Ask(ctx context.Context, id topology.VMID) {
 	vm, ok := p.directory.VM(id)
-	if !ok || id == p.directory.Self().ID || !p.begin(id) {
+	if !ok || id == p.directory.Self().ID || !p.startProbe(id) {
 		return
 	}
 	go func() {
-		defer p.end(id)
+		defer p.endProbe(id)
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		client := p.peers.Get(vm)
 		if _, err := client.Heartbeat(ctx, &peerpb.HeartbeatRequest{Vm: string(p.directory.Self().ID)}); err != nil {
-			// The connection may be what is silent: the next question, and every
-			// request, opens a new one.
+			// It may be only the connection that has failed: the next probe, and
+			// every request, opens a new one.
 			client.CloseIdle()
 		}
 	}()
 }
 
-func (p *Prober) begin(id topology.VMID) bool {
+func (p *Prober) startProbe(id topology.VMID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.asked[id] {
+	if p.probing[id] {
 		return false
 	}
-	p.asked[id] = true
+	p.probing[id] = true
 	return true
 }
 
-func (p *Prober) end(id topology.VMID) {
+func (p *Prober) endProbe(id topology.VMID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.asked, id)
+	delete(p.probing, id)
 }
