--- a/internal/contain/contain.go
+++ b/internal/contain/contain.go
@@ -1,5 +1,5 @@
-// Package contain keeps a fault in the handling of one connection from ending
-// the whole daemon.
+// Package contain recovers from panics in the handling of one connection, so that they
+// don't end the whole daemon.
 package contain
 
 import (
@@ -11,12 +11,12 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// Run calls f and ends a panic in it: the connection that f serves is lost, the
-// other ones go on. Without it one malformed message that meets an unforeseen
-// case ends the daemon with all its sessions. A broken invariant is passed on:
-// after it the process's state can't be trusted, so it has to end.
+// Run calls f, and recovers from and logs a panic in it: only the connection that f serves
+// is lost. Without it, one malformed message that hits an unforeseen case would end the
+// daemon with all its sessions. A panic with a broken invariant is passed on: the process's
+// state can't be trusted after it, so the process has to end.
 //
-// Run reports whether f returned by itself.
+// Run reports whether f returned without a panic.
 func Run(log *slog.Logger, what string, f func()) (returned bool) {
 	defer func() {
 		fault := recover()
--- a/internal/contain/contain_test.go
+++ b/internal/contain/contain_test.go
@@ -9,8 +9,8 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// A handler meets a case that nobody foresaw and panics: its connection ends, the
-// process goes on, and the log has the place.
+// Guards against a daemon that ends because the handler of one connection panics. The
+// panic is logged.
 func TestRunContainsAPanic(t *testing.T) {
 	var out bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&out, nil))
@@ -22,7 +22,7 @@
 	}
 }
 
-// A broken invariant must end the process: what it believes is wrong.
+// Guards against a process that goes on after a broken invariant, when its state is wrong.
 func TestRunPassesABrokenInvariantOn(t *testing.T) {
 	defer func() {
 		if recover() == nil {
