--- a/internal/forward/driver.go
+++ b/internal/forward/driver.go
@@ -144,7 +144,7 @@
 	evidence target.Evidence
 }
 
-// Evidence implements target.Witness.
+// Evidence implements target.IndirectConn.
 func (c *conn) Evidence() target.Evidence { return c.evidence }
 
 func (c *conn) Close() { c.nc.Close() }
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -181,7 +181,7 @@
 func TestAStatementGoesThroughAHolder(t *testing.T) {
 	db, pool := startPool(t)
 	l := acquire(t, pool)
-	if err := l.Adapt(soon(), map[string]string{"a": "1"}); err != nil {
+	if err := l.ApplyValues(soon(), map[string]string{"a": "1"}); err != nil {
 		t.Fatal(err)
 	}
 	a, err := l.Run(soon(), target.Command{ID: "7", Text: "read x"})
@@ -271,7 +271,7 @@
 	db.mu.Unlock()
 	for end := time.Now().Add(500 * time.Millisecond); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		l := acquire(t, pool)
-		if err := l.Adapt(soon(), map[string]string{"a": time.Now().String()}); err != nil {
+		if err := l.ApplyValues(soon(), map[string]string{"a": time.Now().String()}); err != nil {
 			t.Fatal(err)
 		}
 		_, _ = l.Run(time.Now().Add(50*time.Millisecond), target.Command{ID: "2", Text: "read x"}) // Fails with an error or a failure.
--- a/internal/forward/server.go
+++ b/internal/forward/server.go
@@ -176,7 +176,7 @@
 		s.link = link
 	}
 	answer, err := s.run(deadline, r.Command)
-	if err != nil || !s.link.Open() {
+	if err != nil || !s.link.InTransaction() {
 		s.release()
 	}
 	switch {
@@ -203,7 +203,7 @@
 		p, err := s.link.Position(deadline)
 		return statement.Answer{State: statement.Idle, Position: p}, err
 	}
-	if err := s.link.Adapt(deadline, s.values); err != nil {
+	if err := s.link.ApplyValues(deadline, s.values); err != nil {
 		return statement.Answer{}, err
 	}
 	switch c.Kind {
@@ -211,7 +211,7 @@
 		err := s.link.Begin(deadline, c.Kind == target.BeginReadOnly, c.After)
 		return statement.Answer{State: statement.Open}, err
 	case target.Execute:
-		name, err := s.link.Ensure(deadline, s.prepared[c.Name])
+		name, err := s.link.EnsurePrepared(deadline, s.prepared[c.Name])
 		if err != nil {
 			return statement.Answer{}, err
 		}
--- a/internal/gateway/read.go
+++ b/internal/gateway/read.go
@@ -172,12 +172,12 @@
 // run sends the statement over a connection that has the session's values.
 func (r *request) run(link *target.Link, after position.Position, p persistence) (statement.Answer, error) {
 	wall := r.wall()
-	if err := link.Adapt(wall, r.context.Values()); err != nil {
+	if err := link.ApplyValues(wall, r.context.Values()); err != nil {
 		return statement.Answer{}, notSent{err}
 	}
 	cmd := target.Command{Kind: target.Caller, ID: r.st.ID, Text: r.st.Text, After: after, Insist: p == insists}
 	if r.st.Kind == statement.Execute {
-		name, err := link.Ensure(wall, r.prepared)
+		name, err := link.EnsurePrepared(wall, r.prepared)
 		if err != nil {
 			return statement.Answer{}, notSent{err}
 		}
--- a/internal/gateway/router.go
+++ b/internal/gateway/router.go
@@ -151,7 +151,7 @@
 	switch {
 	case !ok:
 		c.State = routing.Dead
-	case t.Leaving && (!c.Primary || load.Left):
+	case t.Leaving && (!c.Primary || load.DrainEnded):
 		c.State = routing.Leaving
 	case t.Leaving, load.FailingFor > suspectAfter:
 		c.State = routing.Suspect // A primary that leaves serves what no replica can.
--- a/internal/gateway/transaction.go
+++ b/internal/gateway/transaction.go
@@ -268,7 +268,7 @@
 		return failure
 	}
 	wall := r.wall()
-	err := link.Adapt(wall, r.context.Values())
+	err := link.ApplyValues(wall, r.context.Values())
 	if err == nil {
 		err = link.Begin(wall, r.tx.readOnly, floor)
 	}
--- a/internal/target/driver.go
+++ b/internal/target/driver.go
@@ -83,9 +83,9 @@
 // NeverAnswered is the AnsweredAgo of a target that has never answered.
 const NeverAnswered time.Duration = -1
 
-// Witness is implemented by a Conn that leads to a holder, which may answer without the target.
+// IndirectConn is implemented by a Conn that leads to a holder, which may answer without the target.
 // All answers of any other Conn are the target's.
-type Witness interface {
+type IndirectConn interface {
 	// Evidence returns what the last answer shows, or the answer to the opening if there is none
 	// since.
 	Evidence() Evidence
@@ -93,12 +93,12 @@
 
 // leadsToHolder reports whether a connection leads to a holder, which keeps customers apart by itself.
 func leadsToHolder(c Conn) bool {
-	_, ok := c.(Witness)
+	_, ok := c.(IndirectConn)
 	return ok
 }
 
 func evidenceOf(c Conn) Evidence {
-	if w, ok := c.(Witness); ok {
+	if w, ok := c.(IndirectConn); ok {
 		return w.Evidence()
 	}
 	return Evidence{Direct: true}
--- a/internal/target/leaving.go
+++ b/internal/target/leaving.go
@@ -35,8 +35,8 @@
 	waitersRefused bool
 }
 
-// Leave marks the target as leaving. It is sent new work until the given time, or none if that is 0.
-func (p *Pool) Leave(until mono.Time) {
+// SetLeaving marks the target as leaving. It is sent new work until the given time, or none if that is 0.
+func (p *Pool) SetLeaving(until mono.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.leaving.knownSince == 0 {
@@ -46,8 +46,8 @@
 	p.leaving.until = until
 }
 
-// Stay marks the target as not leaving.
-func (p *Pool) Stay() {
+// ClearLeaving marks the target as not leaving.
+func (p *Pool) ClearLeaving() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.leaving = leaving{}
@@ -57,11 +57,11 @@
 func (p *Pool) followDirectory(t directory.Target, drain time.Duration) {
 	switch {
 	case !t.Leaving:
-		p.Stay()
+		p.ClearLeaving()
 	case t.LeavingSince == 0:
-		p.Leave(0)
+		p.SetLeaving(0)
 	default:
-		p.Leave(t.LeavingSince.Add(drain - drainReserve))
+		p.SetLeaving(t.LeavingSince.Add(drain - drainReserve))
 	}
 }
 
--- a/internal/target/leaving_test.go
+++ b/internal/target/leaving_test.go
@@ -19,7 +19,7 @@
 func leavingPool(f *fakeTarget, share int) (*target.Pool, *mono.Manual) {
 	clock := &mono.Manual{T: 1}
 	p := target.NewPool(topology.Target{ID: "t"}, share, f, clock, slog.New(slog.DiscardHandler))
-	p.Leave(clock.T.Add(time.Second))
+	p.SetLeaving(clock.T.Add(time.Second))
 	return p, clock
 }
 
@@ -121,11 +121,11 @@
 func TestATargetLeavingSinceAnUnknownTimeGetsNoWork(t *testing.T) {
 	f, clock := &fakeTarget{}, &mono.Manual{T: 1}
 	p := target.NewPool(topology.Target{ID: "t"}, 1, f, clock, slog.New(slog.DiscardHandler))
-	p.Leave(0)
+	p.SetLeaving(0)
 	if _, failure := acquireAt(p, clock); failure == nil || failure.Code != result.TargetLeaving {
 		t.Fatal(failure)
 	}
-	p.Stay()
+	p.ClearLeaving()
 	if _, failure := acquireAt(p, clock); failure != nil {
 		t.Fatalf("the target is no longer leaving: %v", failure)
 	}
--- a/internal/target/link.go
+++ b/internal/target/link.go
@@ -117,9 +117,9 @@
 	return nil
 }
 
-// Adapt sets the session's values on the connection and clears all others. Connections are
+// ApplyValues sets the session's values on the connection and clears all others. Connections are
 // shared between sessions: without it a statement would run with another session's values.
-func (l *Link) Adapt(deadline time.Time, values map[string]string) error {
+func (l *Link) ApplyValues(deadline time.Time, values map[string]string) error {
 	for name := range l.values {
 		if _, ok := values[name]; ok {
 			continue
@@ -154,9 +154,9 @@
 	return nil
 }
 
-// Ensure prepares a statement unless the connection has it already, and returns its name.
+// EnsurePrepared prepares a statement unless the connection has it already, and returns its name.
 // The name depends on the statement alone: names chosen by two sessions could collide.
-func (l *Link) Ensure(deadline time.Time, p statement.Prepared) (string, error) {
+func (l *Link) EnsurePrepared(deadline time.Time, p statement.Prepared) (string, error) {
 	name := statementName(p)
 	if l.prepared[name] {
 		return name, nil
@@ -166,7 +166,7 @@
 		if err := l.reset(deadline); err != nil {
 			return "", err
 		}
-		if err := l.Adapt(deadline, values); err != nil {
+		if err := l.ApplyValues(deadline, values); err != nil {
 			return "", err
 		}
 	}
@@ -263,8 +263,8 @@
 // Broken reports whether the connection can't be used any more.
 func (l *Link) Broken() bool { return l.broken }
 
-// Open reports whether a transaction is open at the target.
-func (l *Link) Open() bool { return l.inTransaction }
+// InTransaction reports whether a transaction is open at the target.
+func (l *Link) InTransaction() bool { return l.inTransaction }
 
 // dialError converts the error of a failed dial to a result error.
 func dialError(err error, target string) *result.Error {
--- a/internal/target/pool.go
+++ b/internal/target/pool.go
@@ -322,8 +322,8 @@
 	// Saturated reports whether the target recently refused a statement because of its load,
 	// or a request recently waited here for too long to meet its objective.
 	Saturated bool
-	// Left reports whether the target is leaving and is no longer sent new work.
-	Left bool
+	// DrainEnded reports whether the target is leaving and is no longer sent new work.
+	DrainEnded bool
 }
 
 // queueTime returns how long a request behind all others would wait for a connection.
@@ -353,6 +353,6 @@
 		FailingFor: p.health.failingFor(now),
 		LastAnswer: p.health.lastAnswer,
 		Saturated:  p.saturated(math.MaxInt, now),
-		Left:       p.drainEnded(now),
+		DrainEnded: p.drainEnded(now),
 	}
 }
--- a/internal/target/pool_test.go
+++ b/internal/target/pool_test.go
@@ -118,12 +118,12 @@
 	f := &fakeTarget{}
 	p := newPool(f, 1)
 	first := acquire(t, p, nil)
-	if err := first.Adapt(soon(), map[string]string{"a": "1"}); err != nil {
+	if err := first.ApplyValues(soon(), map[string]string{"a": "1"}); err != nil {
 		t.Fatal(err)
 	}
 	first.Release()
 	second := acquire(t, p, map[string]string{"b": "2"})
-	if err := second.Adapt(soon(), map[string]string{"b": "2"}); err != nil {
+	if err := second.ApplyValues(soon(), map[string]string{"b": "2"}); err != nil {
 		t.Fatal(err)
 	}
 	kinds := []target.CommandKind{}
@@ -149,7 +149,7 @@
 	if last := f.sent[len(f.sent)-1]; last.Kind != target.Rollback || last.ID != statement.OwnID {
 		t.Fatalf("last sent %+v", last)
 	}
-	if acquire(t, p, nil).Open() {
+	if acquire(t, p, nil).InTransaction() {
 		t.Fatal("acquired a connection with an open transaction")
 	}
 }
@@ -202,15 +202,15 @@
 func TestPreparedNamesOfTwoSessionsDiffer(t *testing.T) {
 	f := &fakeTarget{}
 	l := acquire(t, newPool(f, 1), nil)
-	one, err := l.Ensure(soon(), statement.Prepared{Shape: "x"})
+	one, err := l.EnsurePrepared(soon(), statement.Prepared{Shape: "x"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	two, err := l.Ensure(soon(), statement.Prepared{Shape: "x", Writes: true})
+	two, err := l.EnsurePrepared(soon(), statement.Prepared{Shape: "x", Writes: true})
 	if err != nil || one == two {
 		t.Fatalf("%q %q %v", one, two, err)
 	}
-	if again, _ := l.Ensure(soon(), statement.Prepared{Shape: "x"}); again != one || len(f.sent) != 2 {
+	if again, _ := l.EnsurePrepared(soon(), statement.Prepared{Shape: "x"}); again != one || len(f.sent) != 2 {
 		t.Fatalf("prepared %d times", len(f.sent))
 	}
 }
@@ -321,7 +321,7 @@
 		f := &fakeTarget{}
 		p := newPool(f, 1)
 		l := acquire(t, p, nil)
-		if err := l.Adapt(soon(), map[string]string{"a": "1"}); err != nil {
+		if err := l.ApplyValues(soon(), map[string]string{"a": "1"}); err != nil {
 			t.Fatal(err)
 		}
 		f.answer = answer
@@ -346,7 +346,7 @@
 	}}
 	p := newPool(f, 1)
 	l := acquire(t, p, nil)
-	if err := l.Adapt(soon(), map[string]string{"a": "1"}); err == nil {
+	if err := l.ApplyValues(soon(), map[string]string{"a": "1"}); err == nil {
 		t.Fatal("a late answer was taken for a success")
 	}
 	f.mu.Lock()
