--- a/internal/forward/rows.go
+++ b/internal/forward/rows.go
@@ -14,8 +14,8 @@
 const (
 	// rowsTimeout bounds a request for rows to another VM. If it fails, the rows are read from the store.
 	rowsTimeout = 800 * time.Millisecond
-	// rowsHoldTimeout is how long a VM waits for a requested version that it doesn't have yet before it answers:
-	// as long as the store takes to answer the same request.
+	// rowsHoldTimeout is how long a VM waits for a requested version that it doesn't have yet before it refuses
+	// the request: as long as the store takes to answer the same one.
 	rowsHoldTimeout = 500 * time.Millisecond
 	// maxRowsBytes is the largest answer in bytes that one VM sends another: a larger one would fill its network
 	// link for long enough that its callers notice. The store has a faster link.
--- a/internal/target/driver.go
+++ b/internal/target/driver.go
@@ -98,8 +98,8 @@
 }
 
 func evidenceOf(c Conn) Evidence {
-	if w, ok := c.(IndirectConn); ok {
-		return w.Evidence()
+	if indirect, ok := c.(IndirectConn); ok {
+		return indirect.Evidence()
 	}
 	return Evidence{Direct: true}
 }
--- a/internal/target/pool_test.go
+++ b/internal/target/pool_test.go
@@ -198,7 +198,8 @@
 	}
 }
 
-// Guards against prepared statements of different kinds that get the same name.
+// Guards against a session that runs another session's prepared statement because both have
+// the same name on the connection.
 func TestPreparedNamesOfTwoSessionsDiffer(t *testing.T) {
 	f := &fakeTarget{}
 	l := acquire(t, newPool(f, 1), nil)
--- a/internal/target/pools.go
+++ b/internal/target/pools.go
@@ -111,8 +111,8 @@
 	return all
 }
 
-// sync opens pools of new targets, and closes those of targets that have gone or
-// are at another address.
+// sync opens pools of new targets, and closes those of targets that were removed or
+// have another address.
 func (p *Pools) sync() {
 	changes := p.directory.Changes()
 	config := p.directory.Configuration()
