--- a/pkg/lease/coordinator.go
+++ b/pkg/lease/coordinator.go
@@ -5,57 +5,60 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Coordinator is what this VM does for the groups that it coordinates.
+// Coordinator holds the state of the groups that this VM coordinates. It decides
+// which VMs get a promise, and when all rights under a closed row have ended.
 type Coordinator struct {
 	vm          topology.VMID
 	incarnation topology.Incarnation
-	groups      map[topology.GroupID]*coordinated
+	groups      map[topology.GroupID]*coordinatedGroup
 }
 
-// coordinated is one group's part.
-type coordinated struct {
+// coordinatedGroup is the state of one group.
+type coordinatedGroup struct {
 	row *Row
-	// confirmed is when the newest reading began that showed the row as ours.
+	// confirmed is the start of the newest read that showed this VM as the coordinator.
 	confirmed mono.Time
-	// withdrawn: no promise is given, since a change that closes the row is or
-	// may be under way.
+	// withdrawn is set while no promise is given: the row is closed, or a change that
+	// closes it may be in progress.
 	withdrawn bool
-	// closed is when the change that closed the row was answered.
-	closed mono.Time
-	// inherited is until when promises of an earlier coordinator may stand.
-	inherited mono.Time
-	// takenAt is when this VM took the group over, and formers the earlier
-	// coordinators, each with until when its promises may stand.
-	takenAt mono.Time
-	formers []former
-	// contacts are when each witness was heard.
-	contacts map[topology.VMID]mono.Time
-	adopted  map[topology.VMID]adoption
-	// promised is until when the promise to each VM stands.
-	promised map[topology.VMID]mono.Time
+	// closedSince is when this VM learned that the row is closed, or 0 if it is open.
+	closedSince mono.Time
+	// inheritedUntil is until when promises of earlier coordinators may be valid.
+	inheritedUntil mono.Time
+	// takenOverAt is when this VM took the group over, and formers are the earlier
+	// coordinators, each with the time until which its promises may be valid.
+	takenOverAt mono.Time
+	formers     []former
+	// lastContact is when each VM last asked for a promise without naming a version
+	// newer than the row.
+	lastContact map[topology.VMID]mono.Time
+	adopted     map[topology.VMID]adoption
+	// promisedUntil is until when the promise to each VM is valid.
+	promisedUntil map[topology.VMID]mono.Time
 }
 
-// former is an earlier coordinator as this one sees it.
+// former is an earlier coordinator and what is known of its promises.
 type former struct {
 	Former
-	// until is when its promises have lapsed; stopped: it is known to have stopped.
+	// until is when all of its promises have lapsed. stopped is set once it is known
+	// to give no more promises.
 	until   mono.Time
 	stopped bool
 }
 
-// adoption is the newest version that a VM says to have adopted.
+// adoption is the newest version that a VM has reported as adopted.
 type adoption struct {
 	incarnation topology.Incarnation
 	version     uint64
 }
 
-// NewCoordinator coordinates nothing yet.
+// NewCoordinator returns a coordinator without groups.
 func NewCoordinator(vm topology.VMID, incarnation topology.Incarnation) *Coordinator {
-	return &Coordinator{vm: vm, incarnation: incarnation, groups: map[topology.GroupID]*coordinated{}}
+	return &Coordinator{vm: vm, incarnation: incarnation, groups: map[topology.GroupID]*coordinatedGroup{}}
 }
 
-// Observe takes over a row that a reading, sent at began, or a change of this VM,
-// sent at began and answered at now, showed.
+// Observe applies a row that was read from the store or written by this VM. began is
+// when the read or write was sent, now when its answer arrived.
 func (c *Coordinator) Observe(row *Row, began, now mono.Time) {
 	g := c.groups[row.Group]
 	if row.Coordinator != c.vm || row.Incarnation != c.incarnation {
@@ -65,7 +68,7 @@
 		return
 	}
 	if g == nil {
-		g = &coordinated{row: row, adopted: map[topology.VMID]adoption{}, promised: map[topology.VMID]mono.Time{}, contacts: map[topology.VMID]mono.Time{}}
+		g = &coordinatedGroup{row: row, adopted: map[topology.VMID]adoption{}, promisedUntil: map[topology.VMID]mono.Time{}, lastContact: map[topology.VMID]mono.Time{}}
 		g.inherit(row, now)
 		c.groups[row.Group] = g
 	}
@@ -73,97 +76,99 @@
 		return
 	}
 	if row.Version > g.row.Version || row.Version == g.row.Version && g.confirmed == 0 {
-		g.take(row, now)
+		g.setRow(row, now)
 	}
 	g.confirmed = max(g.confirmed, began)
 }
 
-// inherit notes until when promises of the coordinators before may stand: each goes on
-// promising until it learns of the change or reaches its limit.
-func (g *coordinated) inherit(row *Row, now mono.Time) {
+// inherit sets until when promises of earlier coordinators may be valid: each goes on
+// giving promises until it learns of the takeover or reaches its limit.
+func (g *coordinatedGroup) inherit(row *Row, now mono.Time) {
 	if row.Fence <= 1 {
 		return
 	}
-	g.takenAt = now
-	g.inherited = now.Add(Duration + margin) // What one that ended promised last.
+	g.takenOverAt = now
+	g.inheritedUntil = now.Add(Duration + margin) // The last promise of a coordinator that has stopped.
 	for _, f := range row.Formers {
 		g.formers = append(g.formers, former{Former: f, until: now.Add(CoordinatorLimit + Duration + margin)})
 	}
-	g.inheritLatest()
+	g.updateInherited()
 }
 
-func (g *coordinated) inheritLatest() {
-	latest := g.takenAt.Add(Duration + margin)
+func (g *coordinatedGroup) updateInherited() {
+	latest := g.takenOverAt.Add(Duration + margin)
 	for _, f := range g.formers {
 		latest = max(latest, f.until)
 	}
-	g.inherited = latest
+	g.inheritedUntil = latest
 }
 
-// shorten ends the wait for earlier coordinators that are known to have stopped: one that,
-// or a later start of which, has adopted the change; or one most of whose witnesses have,
-// so that it has lost their contact, and its last reading has run out.
-func (g *coordinated) shorten(now mono.Time) {
+// shortenWaits ends the wait for earlier coordinators that are known to have stopped. Such
+// a coordinator has adopted the takeover, in the same or a later incarnation; or most of its
+// witnesses have, so that it has lost contact with them, and its last read of the row has
+// become too old.
+func (g *coordinatedGroup) shortenWaits(now mono.Time) {
 	for i := range g.formers {
 		f := &g.formers[i]
 		if f.stopped {
 			continue
 		}
-		stops, known := g.stops(f, now)
+		lastPromise, known := g.lastPromise(f, now)
 		if known {
 			f.stopped = true
-			f.until = min(f.until, stops.Add(Duration+margin))
+			f.until = min(f.until, lastPromise.Add(Duration+margin))
 		}
 	}
-	if g.takenAt != 0 {
-		g.inheritLatest()
+	if g.takenOverAt != 0 {
+		g.updateInherited()
 	}
 }
 
-// stops returns by when an earlier coordinator gives its last promise, if that is known.
-func (g *coordinated) stops(f *former, now mono.Time) (mono.Time, bool) {
+// lastPromise returns by when an earlier coordinator gives its last promise, if that is known.
+func (g *coordinatedGroup) lastPromise(f *former, now mono.Time) (mono.Time, bool) {
 	if g.adopted[f.VM].version >= f.Version {
 		return now, true
 	}
-	following := 0
+	adopters := 0
 	for _, vm := range f.Witnesses {
 		if g.adopted[vm].version >= f.Version {
-			following++
+			adopters++
 		}
 	}
-	if 2*following <= len(f.Witnesses) {
+	if 2*adopters <= len(f.Witnesses) {
 		return 0, false
 	}
-	return max(g.takenAt.Add(storeGrace), now.Add(contactGrace)), true
+	return max(g.takenOverAt.Add(storeGrace), now.Add(contactGrace)), true
 }
 
-// mayPromise reports whether the coordinator can still be the only one: it has read
-// the row lately, or it hears most of the witnesses and is within its limit.
-func (g *coordinated) mayPromise(now mono.Time) bool {
+// mayPromise reports whether this VM is certainly still the only coordinator: it has read
+// the row within storeGrace, or it has read it within CoordinatorLimit and is in contact
+// with most of the witnesses.
+func (g *coordinatedGroup) mayPromise(now mono.Time) bool {
 	if now.Before(g.confirmed.Add(storeGrace)) {
 		return true
 	}
-	heard := 0
+	inContact := 0
 	for _, vm := range g.row.Witnesses {
-		if at := g.contacts[vm]; at != 0 && now.Sub(at) < contactGrace {
-			heard++
+		if at := g.lastContact[vm]; at != 0 && now.Sub(at) < contactGrace {
+			inContact++
 		}
 	}
-	return 2*heard > len(g.row.Witnesses) && now.Before(g.confirmed.Add(CoordinatorLimit))
+	return 2*inContact > len(g.row.Witnesses) && now.Before(g.confirmed.Add(CoordinatorLimit))
 }
 
-func (g *coordinated) take(row *Row, now mono.Time) {
+func (g *coordinatedGroup) setRow(row *Row, now mono.Time) {
 	g.row = row
 	g.withdrawn = !row.Open()
-	if !row.Open() && g.closed == 0 {
-		g.closed = now
+	if !row.Open() && g.closedSince == 0 {
+		g.closedSince = now
 	}
 	if row.Open() {
-		g.closed = 0
+		g.closedSince = 0
 	}
 }
 
-// Row returns the row if this VM coordinates the group, or nil.
+// Row returns the group's row if this VM coordinates the group, or nil.
 func (c *Coordinator) Row(group topology.GroupID) *Row {
 	if g := c.groups[group]; g != nil {
 		return g.row
@@ -180,7 +185,8 @@
 	return ids
 }
 
-// Confirmed returns when the newest reading began that showed the row as ours.
+// Confirmed returns the start of the newest read that showed this VM as the group's
+// coordinator, or 0 if there was none.
 func (c *Coordinator) Confirmed(group topology.GroupID) mono.Time {
 	if g := c.groups[group]; g != nil {
 		return g.confirmed
@@ -188,31 +194,31 @@
 	return 0
 }
 
-// Withdraw ends promises: a change that closes the row is about to be sent, and
-// its answer may be lost.
+// Withdraw stops promises. It is called before a change that closes the row is sent,
+// since the answer to that change may be lost.
 func (c *Coordinator) Withdraw(group topology.GroupID) {
 	if g := c.groups[group]; g != nil {
 		g.withdrawn = true
 	}
 }
 
-// Withdrawn reports whether the row is open although promises have stopped: a change
-// that was to close it has an unknown outcome.
+// Withdrawn reports whether promises are stopped although the row is open: the outcome
+// of a change that closes it is unknown.
 func (c *Coordinator) Withdrawn(group topology.GroupID) bool {
 	g := c.groups[group]
 	return g != nil && g.withdrawn && g.row.Open()
 }
 
-// Restore allows promises again: the row was read, and the change did not and
-// can't take effect.
+// Restore allows promises again. It is called when a read of the row has shown that the
+// change did not take effect and no longer can.
 func (c *Coordinator) Restore(group topology.GroupID) {
 	if g := c.groups[group]; g != nil && g.row.Open() {
 		g.withdrawn = false
 	}
 }
 
-// Promise answers a VM that has adopted a version, and reports whether it may hold
-// the right under it.
+// Promise handles the request of a VM that has adopted a version, and reports whether
+// the VM may hold the right under that version.
 func (c *Coordinator) Promise(group topology.GroupID, vm topology.VMID, inc topology.Incarnation, version uint64, now mono.Time) bool {
 	g := c.groups[group]
 	if g == nil {
@@ -220,57 +226,57 @@
 	}
 	if a := g.adopted[vm]; inc > a.incarnation || inc == a.incarnation && version > a.version {
 		g.adopted[vm] = adoption{incarnation: inc, version: version}
-		g.shorten(now)
+		g.shortenWaits(now)
 	}
 	if version <= g.row.Version {
-		g.contacts[vm] = now
+		g.lastContact[vm] = now
 	}
 	if g.withdrawn || !g.row.Open() || version != g.row.Version || !g.mayPromise(now) {
 		return false
 	}
-	g.promised[vm] = now.Add(Duration + margin)
+	g.promisedUntil[vm] = now.Add(Duration + margin)
 	return true
 }
 
-// Settled reports whether no promise of an earlier coordinator can stand any more, so
-// that a change which is not urgent can be made without a long wait.
+// Settled reports whether all promises of earlier coordinators have lapsed, so that
+// a change which is not urgent can be made without a long wait.
 func (c *Coordinator) Settled(group topology.GroupID, now mono.Time) bool {
 	g := c.groups[group]
-	return g != nil && !now.Before(g.inherited)
+	return g != nil && !now.Before(g.inheritedUntil)
 }
 
 // RightsEnded reports whether no VM can have a right any more. registered are the
-// VMs that the store listed after the row was closed: one that registers later
+// VMs that the store listed after the row was closed: a VM that registers later
 // reads the closed row.
 //
-// A VM that has adopted the closed row holds nothing. Of one that has not, what it
-// read or was promised lapses by itself; after a change of the coordinator this
-// includes promises that the earlier one gave while it could not know of it.
+// A VM that has adopted the closed row has no right. The rights of any other VM, from
+// its own reads or from promises, lapse with time. After a change of the coordinator
+// these include promises that the earlier coordinator gave before it learned of the change.
 func (c *Coordinator) RightsEnded(group topology.GroupID, registered []topology.VM, now mono.Time) bool {
 	g := c.groups[group]
-	if g == nil || g.row.Open() || g.closed == 0 {
+	if g == nil || g.row.Open() || g.closedSince == 0 {
 		return false
 	}
-	lapsed := !now.Before(g.closed.Add(Duration+margin)) && !now.Before(g.inherited)
+	lapsed := !now.Before(g.closedSince.Add(Duration+margin)) && !now.Before(g.inheritedUntil)
 	if lapsed {
 		return true
 	}
 	for _, vm := range registered {
-		if !g.holdsNothing(vm.ID, vm.Incarnation) {
+		if !g.hasConfirmed(vm.ID, vm.Incarnation) {
 			return false
 		}
 	}
 	// A VM whose registration was removed may still hold a promise.
-	for vm, until := range g.promised {
-		if now.Before(until) && !g.holdsNothing(vm, 0) {
+	for vm, until := range g.promisedUntil {
+		if now.Before(until) && !g.hasConfirmed(vm, 0) {
 			return false
 		}
 	}
 	return true
 }
 
-// Unconfirmed lists the VMs among the registered ones that may still have a right, since they
-// have not confirmed the closed row.
+// Unconfirmed returns the registered VMs that may still have a right because they have
+// not confirmed the closed row.
 func (c *Coordinator) Unconfirmed(group topology.GroupID, registered []topology.VM) []topology.VMID {
 	g := c.groups[group]
 	if g == nil || g.row.Open() {
@@ -278,14 +284,16 @@
 	}
 	var ids []topology.VMID
 	for _, vm := range registered {
-		if !g.holdsNothing(vm.ID, vm.Incarnation) {
+		if !g.hasConfirmed(vm.ID, vm.Incarnation) {
 			ids = append(ids, vm.ID)
 		}
 	}
 	return ids
 }
 
-func (g *coordinated) holdsNothing(vm topology.VMID, incarnation topology.Incarnation) bool {
+// hasConfirmed reports whether a VM, in this incarnation or a later one, has adopted the
+// closed row and so has no right.
+func (g *coordinatedGroup) hasConfirmed(vm topology.VMID, incarnation topology.Incarnation) bool {
 	a := g.adopted[vm]
 	return a.incarnation >= incarnation && a.version >= g.row.Handover.ClosedAt
 }
--- a/pkg/lease/holder.go
+++ b/pkg/lease/holder.go
@@ -5,27 +5,29 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Right says for which primary a VM may acknowledge.
+// Right allows a VM to acknowledge requests to a group's primary in a term.
 type Right struct {
 	Group   topology.GroupID
 	Term    uint64
 	Primary topology.TargetID
 }
 
-// Holder holds this VM's rights.
+// Holder keeps the rights of this VM.
 type Holder struct {
-	groups map[topology.GroupID]*held
+	groups map[topology.GroupID]*heldRight
 }
 
-type held struct {
+// heldRight is the right in one group, and the row under which it is held.
+type heldRight struct {
 	row *Row
-	// promised and read are until when the right stands, by either source.
-	promised mono.Time
-	read     mono.Time
+	// promisedUntil is until when the right is valid by the coordinator's promise, and
+	// readUntil until when it is valid by this VM's own read.
+	promisedUntil mono.Time
+	readUntil     mono.Time
 }
 
-// NewHolder holds no right.
-func NewHolder() *Holder { return &Holder{groups: map[topology.GroupID]*held{}} }
+// NewHolder returns a holder without rights.
+func NewHolder() *Holder { return &Holder{groups: map[topology.GroupID]*heldRight{}} }
 
 // Row returns the newest row known of a group, or nil.
 func (h *Holder) Row(group topology.GroupID) *Row {
@@ -35,65 +37,66 @@
 	return nil
 }
 
-// Adopt takes over a newer row, whoever told it, and reports whether it was newer.
-// Promises under the older version end with it: once a VM says that it has
-// adopted a version, it holds nothing that an earlier coordinator promised. A reading
-// still counts while the row stays open for the same primary: only closing the row
-// ends it, and that is waited for.
+// Adopt stores a row if it is newer than the known one, whatever its source, and reports
+// whether it was newer. Promises under the older version end: once a VM reports that it
+// has adopted a version, it has no right from an earlier coordinator's promise. A right
+// from the VM's own read continues while the row stays open for the same primary: only
+// closing the row ends it, and a promotion waits for that.
 func (h *Holder) Adopt(row *Row) bool {
 	g := h.groups[row.Group]
 	if g == nil {
-		h.groups[row.Group] = &held{row: row}
+		h.groups[row.Group] = &heldRight{row: row}
 		return true
 	}
 	if row.Version <= g.row.Version {
 		return false
 	}
 	if !g.row.Open() || !row.Open() || g.row.Term != row.Term || g.row.Primary != row.Primary {
-		g.read = 0
+		g.readUntil = 0
 	}
 	g.row = row
-	g.promised = 0
+	g.promisedUntil = 0
 	return true
 }
 
-// Read notes that a reading of the store which was sent at began showed the version.
-// A reading of an older one tells nothing.
+// Read extends the right after a read of the store, sent at began, that showed the
+// version. A read of another version has no effect.
 func (h *Holder) Read(group topology.GroupID, version uint64, began mono.Time) {
 	g := h.groups[group]
 	if g == nil || g.row.Version != version || !g.row.Open() {
 		return
 	}
-	g.read = max(g.read, began.Add(Duration))
+	g.readUntil = max(g.readUntil, began.Add(Duration))
 }
 
-// Promised notes the coordinator's promise, asked for at sent, under a version.
+// Promised extends the right after the coordinator has promised it under the version. The
+// request for the promise was sent at sent.
 func (h *Holder) Promised(group topology.GroupID, version uint64, sent mono.Time) {
 	g := h.groups[group]
 	if g == nil || g.row.Version != version || !g.row.Open() {
 		return
 	}
-	g.promised = max(g.promised, sent.Add(Duration))
+	g.promisedUntil = max(g.promisedUntil, sent.Add(Duration))
 }
 
-// Until returns until when the VM has the right.
+// Until returns until when the VM has the right, or 0 if it has never had it.
 func (h *Holder) Until(group topology.GroupID) mono.Time {
 	g := h.groups[group]
 	if g == nil {
 		return 0
 	}
-	return max(g.promised, g.read)
+	return max(g.promisedUntil, g.readUntil)
 }
 
-// PromisedUntil returns until when the coordinator's promise stands.
+// PromisedUntil returns until when the coordinator's promise is valid.
 func (h *Holder) PromisedUntil(group topology.GroupID) mono.Time {
 	if g := h.groups[group]; g != nil {
-		return g.promised
+		return g.promisedUntil
 	}
 	return 0
 }
 
-// Right returns the right that the VM has now.
+// Right returns the right that the VM has now, and false if it has none.
 func (h *Holder) Right(group topology.GroupID, now mono.Time) (Right, bool) {
 	g := h.groups[group]
 	if g == nil || !g.row.Open() || !now.Before(h.Until(group)) {
@@ -102,10 +105,10 @@
 	return Right{Group: group, Term: g.row.Term, Primary: g.row.Primary}, true
 }
 
-// Confirm reports whether the right still stands. It is asked after the primary
-// has answered and before the caller is: a VM that was paused between finds that
-// its right has lapsed, and acknowledges nothing.
+// Confirm reports whether the right is still valid. It is called after the primary has
+// answered and before the answer goes to the caller: if the VM was paused in between, its
+// right may have lapsed, and it must not acknowledge the request.
 func (h *Holder) Confirm(r Right, now mono.Time) bool {
-	present, ok := h.Right(r.Group, now)
-	return ok && present == r
+	current, ok := h.Right(r.Group, now)
+	return ok && current == r
 }
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -12,11 +12,12 @@
 
 const (
 	second = mono.Time(time.Second)
-	// half of the time that a right lasts.
-	half = mono.Time(lease.Duration / 2)
-	// right is how long one lasts, and lapsed a moment after which it is over for every clock.
-	right  = mono.Time(lease.Duration)
-	lapsed = right + right/10
+	// halfDuration is half the time for which a right is valid.
+	halfDuration = mono.Time(lease.Duration / 2)
+	// duration is how long a right is valid, and lapsed the time after which it has lapsed
+	// by every VM's clock.
+	duration = mono.Time(lease.Duration)
+	lapsed   = duration + duration/10
 )
 
 func firstRow() *lease.Row {
@@ -31,73 +32,73 @@
 	return all
 }
 
-func mustEnd(t *testing.T, c *lease.Coordinator, registered []topology.VM, now mono.Time, want bool) {
+func checkRightsEnded(t *testing.T, c *lease.Coordinator, registered []topology.VM, now mono.Time, want bool) {
 	t.Helper()
 	if got := c.RightsEnded("g", registered, now); got != want {
 		t.Fatalf("at %v rights ended: %v, want %v", time.Duration(now), got, want)
 	}
 }
 
-// A VM freezes after its statement was sent. When it wakes, the primary's answer
-// is there, but another primary may have been promoted meanwhile: the caller must
-// not be told that its write stands.
-func TestConfirmAfterAPause(t *testing.T) {
+// A VM is paused after it has sent a statement. When it resumes, the primary has answered,
+// but another primary may have been promoted meanwhile: the write must not be
+// acknowledged to the caller.
+func TestConfirmFailsAfterPause(t *testing.T) {
 	h := lease.NewHolder()
 	h.Adopt(firstRow())
 	h.Promised("g", 1, 10*second)
 	right, ok := h.Right("g", 10*second)
-	if !ok || !h.Confirm(right, 10*second+half) {
+	if !ok || !h.Confirm(right, 10*second+halfDuration) {
 		t.Fatal("no right after a promise")
 	}
-	if h.Confirm(right, 10*second+2*half) {
+	if h.Confirm(right, 10*second+2*halfDuration) {
 		t.Fatal("the right outlived its promise")
 	}
 }
 
-// The store is out: the coordinator's promises alone keep the right. Then the
-// coordinator is cut off: readings of the row alone keep it.
+// Promises alone keep the right while the store can't be reached, and reads of the row alone
+// keep it while the coordinator can't.
 func TestEitherSourceSuffices(t *testing.T) {
 	h := lease.NewHolder()
 	h.Adopt(firstRow())
 	h.Read("g", 1, 10*second)
-	if _, ok := h.Right("g", 10*second+half); !ok {
-		t.Fatal("a reading gives no right")
+	if _, ok := h.Right("g", 10*second+halfDuration); !ok {
+		t.Fatal("a read gives no right")
 	}
 	h.Promised("g", 1, 12*second)
-	if _, ok := h.Right("g", 12*second+half); !ok {
+	if _, ok := h.Right("g", 12*second+halfDuration); !ok {
 		t.Fatal("a promise gives no right")
 	}
 	h.Read("g", 0, 20*second)
 	if _, ok := h.Right("g", 20*second); ok {
-		t.Fatal("a reading of an older row gave a right")
+		t.Fatal("a read of an older row gave a right")
 	}
 }
 
-// Another VM takes the group over. What a VM read itself goes on counting, so that no
-// request has to wait for the new coordinator; what the former one promised does not,
-// nor does either once the row is closed.
-func TestAReadingOutlastsAChangeOfTheCoordinator(t *testing.T) {
+// Another VM takes the group over. A right from a VM's own read stays valid, so that no
+// request has to wait for the new coordinator. A promise of the former coordinator does
+// not, and neither is valid once the row is closed.
+func TestReadStaysValidAfterTakeover(t *testing.T) {
 	h := lease.NewHolder()
 	h.Adopt(firstRow())
 	h.Read("g", 1, 10*second)
 	h.Promised("g", 1, 11*second)
 	taken := firstRow().TakenBy("vm-2", 1, "vm-2", nil)
 	h.Adopt(taken)
-	if _, ok := h.Right("g", 10*second+half); !ok {
-		t.Fatal("the reading was dropped")
+	if _, ok := h.Right("g", 10*second+halfDuration); !ok {
+		t.Fatal("the read no longer gives a right")
 	}
-	if _, ok := h.Right("g", 11*second+half); ok {
-		t.Fatal("the former coordinator's promise still counts")
+	if _, ok := h.Right("g", 11*second+halfDuration); ok {
+		t.Fatal("the former coordinator's promise still gives a right")
 	}
 	h.Adopt(taken.Closed("x"))
 	h.Adopt(taken.Closed("x").Resumed())
-	if _, ok := h.Right("g", 10*second+half); ok {
-		t.Fatal("a reading from before the row was closed counts")
+	if _, ok := h.Right("g", 10*second+halfDuration); ok {
+		t.Fatal("a read from before the row was closed gives a right")
 	}
 }
 
-// The primary fails while one VM can't be reached. Its rights lapse by time, those
-// of the others end as they adopt the closed row; then alone a promotion is safe.
+// The primary fails while one VM can't be reached. The rights of that VM lapse with time,
+// those of the others end when they adopt the closed row. Only then is a promotion safe.
 func TestPromotionWaitsForEveryVM(t *testing.T) {
 	c := lease.NewCoordinator("vm-1", 1)
 	row := firstRow()
@@ -114,34 +115,34 @@
 	registered := vms("vm-1", "vm-2", "vm-3")
 	c.Promise("g", "vm-1", 1, 2, 11*second)
 	c.Promise("g", "vm-2", 1, 2, 11*second)
-	mustEnd(t, c, registered, 11*second, false)
-	mustEnd(t, c, registered, 11*second+right, false)
-	mustEnd(t, c, registered, 11*second+lapsed, true)
+	checkRightsEnded(t, c, registered, 11*second, false)
+	checkRightsEnded(t, c, registered, 11*second+duration, false)
+	checkRightsEnded(t, c, registered, 11*second+lapsed, true)
 	c.Promise("g", "vm-3", 1, 2, 11*second)
-	mustEnd(t, c, registered, 11*second, true)
+	checkRightsEnded(t, c, registered, 11*second, true)
 }
 
 // A coordinator is cut off from the store and from the VM that took over, and goes
-// on promising to the VMs beside it until its limit. A promotion before that
-// would leave them acknowledging at the replaced primary.
-func TestTakeoverWaitsForTheEarlierCoordinator(t *testing.T) {
+// on giving promises to the VMs on its side until its limit. After an earlier promotion
+// these VMs would still acknowledge requests to the replaced primary.
+func TestTakeoverWaitsForEarlierCoordinator(t *testing.T) {
 	c := lease.NewCoordinator("vm-2", 1)
 	taken := firstRow().TakenBy("vm-2", 1, "vm-2", nil)
 	c.Observe(taken, 10*second, 10*second)
 	c.Observe(taken.Closed("primary_failed"), 11*second, 11*second)
 	registered := vms("vm-1", "vm-2")
 	c.Promise("g", "vm-2", 1, 3, 11*second)
-	mustEnd(t, c, registered, 15*second, false)
+	checkRightsEnded(t, c, registered, 15*second, false)
 	limit := 10*second + mono.Time(lease.CoordinatorLimit)
-	mustEnd(t, c, registered, limit+right, false)
-	mustEnd(t, c, registered, limit+lapsed, true)
+	checkRightsEnded(t, c, registered, limit+duration, false)
+	checkRightsEnded(t, c, registered, limit+lapsed, true)
 	c.Promise("g", "vm-1", 1, 3, 12*second)
-	mustEnd(t, c, registered, 12*second, true)
+	checkRightsEnded(t, c, registered, 12*second, true)
 }
 
-// A VM that started again has lost what it adopted, and may hold a reading of its
-// own: what its former process confirmed counts for nothing.
-func TestAnEarlierStartsAdoptionDoesNotCount(t *testing.T) {
+// A VM that has restarted has lost what it adopted, and may have a right from its own
+// read: what its former process confirmed must not count.
+func TestAdoptionByEarlierIncarnationIsIgnored(t *testing.T) {
 	c := lease.NewCoordinator("vm-1", 1)
 	row := firstRow()
 	c.Observe(row, 10*second, 10*second)
@@ -150,12 +151,12 @@
 	c.Promise("g", "vm-2", 1, 2, 10*second)
 	registered := vms("vm-1", "vm-2")
 	registered[1].Incarnation = 2
-	mustEnd(t, c, registered, 10*second, false)
+	checkRightsEnded(t, c, registered, 10*second, false)
 }
 
-// The store is out for all. The coordinator hears most of its witnesses, so nobody can
-// have taken over with them, and writes go on up to its limit.
-func TestPromisesOutlastAnOutageOfTheStore(t *testing.T) {
+// No VM can reach the store. The coordinator is in contact with most of its witnesses, so
+// no other VM can have taken over with them, and writes continue up to its limit.
+func TestPromisesContinueDuringStoreOutage(t *testing.T) {
 	row := firstRow()
 	row.Witnesses = []topology.VMID{"vm-1", "vm-2", "vm-3"}
 	c := lease.NewCoordinator("vm-1", 1)
@@ -171,26 +172,26 @@
 	}
 }
 
-// A coordinator is cut off with one VM beside it. It can't know whether another one
-// has taken over, so it stops: the VMs beside it would go on at a replaced primary.
-func TestCoordinatorInAMinorityStops(t *testing.T) {
+// A coordinator is cut off together with one VM. It can't know whether another VM has taken
+// over, so it must stop: that VM would go on using a replaced primary.
+func TestCoordinatorInMinorityStops(t *testing.T) {
 	row := firstRow()
 	row.Witnesses = []topology.VMID{"vm-1", "vm-2", "vm-3", "vm-4", "vm-5"}
 	c := lease.NewCoordinator("vm-1", 1)
 	c.Observe(row, 10*second, 10*second)
-	c.Promise("g", "vm-1", 1, 1, 10*second+half)
-	if !c.Promise("g", "vm-2", 1, 1, 10*second+half) {
+	c.Promise("g", "vm-1", 1, 1, 10*second+halfDuration)
+	if !c.Promise("g", "vm-2", 1, 1, 10*second+halfDuration) {
 		t.Fatal("stopped although it read the row just before")
 	}
 	c.Promise("g", "vm-1", 1, 1, 13*second)
 	if c.Promise("g", "vm-2", 1, 1, 13*second) {
-		t.Fatal("goes on without the store and most witnesses")
+		t.Fatal("promised without the store and most witnesses")
 	}
 }
 
-// The coordinator's machine is gone for good. Most of its witnesses follow the one that
-// took over, so a primary can be replaced long before the former one's limit.
-func TestWitnessesShortenTheWait(t *testing.T) {
+// The coordinator's machine is permanently lost. Most of its witnesses have adopted the
+// takeover, so a primary can be replaced long before the former coordinator's limit.
+func TestWitnessesShortenWaitForCoordinator(t *testing.T) {
 	row := firstRow()
 	row.Witnesses = []topology.VMID{"vm-1", "vm-2", "vm-3"}
 	c := lease.NewCoordinator("vm-2", 1)
@@ -200,11 +201,11 @@
 	c.Promise("g", "vm-2", 1, 3, 10*second)
 	c.Promise("g", "vm-3", 1, 3, 10*second)
 	registered := vms("vm-1", "vm-2", "vm-3")
-	mustEnd(t, c, registered, 10*second+right+half, false)
-	mustEnd(t, c, registered, 12*second, true)
+	checkRightsEnded(t, c, registered, 10*second+duration+halfDuration, false)
+	checkRightsEnded(t, c, registered, 12*second, true)
 }
 
-func TestRowOfAHandover(t *testing.T) {
+func TestRowAfterHandover(t *testing.T) {
 	row := firstRow().Closed("x").Choosing("b", position.Position{Term: 3, Index: 9}, true).Opened(4)
 	if row.Version != 4 || row.Term != 4 || row.Primary != "b" || !row.Open() {
 		t.Fatalf("%+v", row)
@@ -214,23 +215,23 @@
 	}
 }
 
-// A coordinator's process is killed and starts again, and takes its group back. Its
-// former process promises nothing any more, so a VM that has gone for good is waited
-// for as long as a right lasts, not as long as a coordinator that is cut off.
-func TestALaterStartOfTheCoordinatorKnowsThatItEnded(t *testing.T) {
+// A coordinator's process is killed, restarts and takes its group back. Its former process
+// gives no more promises, so a permanently lost VM is waited for only as long as a right is
+// valid, and not as long as a coordinator that is cut off.
+func TestRestartedCoordinatorIsKnownToHaveStopped(t *testing.T) {
 	c := lease.NewCoordinator("vm-1", 2)
 	taken := firstRow().TakenBy("vm-1", 2, "vm-1", nil)
 	c.Observe(taken, 10*second, 10*second)
 	c.Observe(taken.Closed("x"), 10*second, 10*second)
 	c.Promise("g", "vm-1", 2, 3, 10*second)
 	gone := vms("vm-1", "vm-gone")
-	mustEnd(t, c, gone, 10*second+right, false)
-	mustEnd(t, c, gone, 10*second+lapsed, true)
+	checkRightsEnded(t, c, gone, 10*second+duration, false)
+	checkRightsEnded(t, c, gone, 10*second+lapsed, true)
 }
 
-// The former coordinator comes back after another VM took over, and says that it has
-// adopted the change: what it promised before lapses within a right's time.
-func TestTheFormerCoordinatorAdoptsTheChange(t *testing.T) {
+// The former coordinator comes back after another VM took over, and reports that it has
+// adopted the takeover: its earlier promises lapse within the duration of a right.
+func TestFormerCoordinatorAdoptsTakeover(t *testing.T) {
 	c := lease.NewCoordinator("vm-2", 1)
 	taken := firstRow().TakenBy("vm-2", 1, "vm-2", nil)
 	c.Observe(taken, 10*second, 10*second)
@@ -238,12 +239,13 @@
 	c.Promise("g", "vm-2", 1, 3, 11*second)
 	c.Promise("g", "vm-1", 1, 3, 12*second)
 	gone := vms("vm-1", "vm-2", "vm-gone")
-	mustEnd(t, c, gone, 12*second+right, false)
-	mustEnd(t, c, gone, 12*second+lapsed, true)
+	checkRightsEnded(t, c, gone, 12*second+duration, false)
+	checkRightsEnded(t, c, gone, 12*second+lapsed, true)
 }
 
-// Two takeovers follow each other within a moment. The first coordinator is cut off and
-// knows of neither; that the second one follows says nothing of it.
+// Two takeovers happen in quick succession. The first coordinator is cut off and knows of
+// neither. That the second coordinator has adopted the last takeover does not mean that
+// the first one has stopped.
 func TestASecondTakeoverWaitsForTheFirstCoordinatorToo(t *testing.T) {
 	first := firstRow()
 	first.Witnesses = []topology.VMID{"vm-1", "vm-4", "vm-5"}
@@ -255,20 +257,20 @@
 	c.Promise("g", "vm-3", 1, 4, 10*second)
 	c.Promise("g", "vm-2", 1, 4, 10*second)
 	registered := vms("vm-1", "vm-2", "vm-3")
-	mustEnd(t, c, registered, 13*second, false)
-	mustEnd(t, c, registered, 22*second, false)
-	mustEnd(t, c, registered, 24*second, true)
+	checkRightsEnded(t, c, registered, 13*second, false)
+	checkRightsEnded(t, c, registered, 22*second, false)
+	checkRightsEnded(t, c, registered, 24*second, true)
 	c.Promise("g", "vm-1", 1, 4, 14*second)
-	mustEnd(t, c, registered, 14*second, true)
+	checkRightsEnded(t, c, registered, 14*second, true)
 }
 
-// A coordinator that itself waits for an earlier one hands over: its successor waits, too.
-func TestAHandoverKeepsEarlierCoordinators(t *testing.T) {
+// A coordinator hands over while it still waits for an earlier one: its successor must wait, too.
+func TestCoordinatorHandoverKeepsFormers(t *testing.T) {
 	row := firstRow().TakenBy("vm-2", 1, "vm-2", nil).TakenBy("vm-3", 1, "vm-2", nil)
 	if len(row.Formers) != 1 || row.Formers[0].VM != "vm-1" {
 		t.Fatalf("%+v", row.Formers)
 	}
 	if len(row.Settled().Formers) != 0 {
-		t.Fatal("settled rows keep them")
+		t.Fatal("a settled row still has earlier coordinators")
 	}
 }
--- a/pkg/lease/model_test.go
+++ b/pkg/lease/model_test.go
@@ -14,9 +14,9 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// The model: some VMs with one group, a store, and links that come and go. Everything
-// that a VM may do happens in any order; the driver's rules are kept, no more. At each
-// promotion no VM may have the right for the former primary.
+// The model has some VMs with one group, a store, and links that go down and up. All actions
+// of the VMs happen in random order, restricted only by the rules that the package's caller
+// keeps. At each promotion no VM may have the right for the former primary.
 const (
 	modelVMs   = 5
 	modelSteps = 3000
@@ -34,17 +34,17 @@
 	now    mono.Time
 	vms    []*modelVM
 	store  *lease.Row
-	// cut are links that are down: of two VMs, or of a VM and the store.
+	// cut holds the links that are down, between two VMs or between a VM and the store.
 	cut map[[2]int]bool
-	// mistake is planted: it changes a row before it is written.
-	mistake    func(*lease.Row) *lease.Row
+	// bug, if not nil, is an injected fault that changes a row before it is written.
+	bug        func(*lease.Row) *lease.Row
 	promotions int
 }
 
 const storeLink = -1
 
-func newModel(seed uint64, mistake func(*lease.Row) *lease.Row) *model {
-	m := &model{random: rand.New(rand.NewPCG(seed, 1)), now: second, cut: map[[2]int]bool{}, mistake: mistake}
+func newModel(seed uint64, bug func(*lease.Row) *lease.Row) *model {
+	m := &model{random: rand.New(rand.NewPCG(seed, 1)), now: second, cut: map[[2]int]bool{}, bug: bug}
 	for i := range modelVMs {
 		m.vms = append(m.vms, nil)
 		m.startVM(i, 1)
@@ -87,20 +87,20 @@
 	return -1
 }
 
-// write commits a row, if the writer reaches the store and knows the version before.
+// write commits a row if the writer reaches the store and the row follows the stored version.
 func (m *model) write(i int, row *lease.Row) bool {
 	if !m.linked(storeLink, i) || m.store != nil && m.store.Version != row.Version-1 {
 		return false
 	}
-	if m.mistake != nil {
-		row = m.mistake(row)
+	if m.bug != nil {
+		row = m.bug(row)
 	}
 	m.store = row
-	m.learn(i, row)
+	m.apply(i, row)
 	return true
 }
 
-func (m *model) learn(i int, row *lease.Row) {
+func (m *model) apply(i int, row *lease.Row) {
 	v := m.vms[i]
 	v.holder.Adopt(row)
 	v.coordinator.Observe(row, m.now, m.now)
@@ -108,12 +108,12 @@
 
 func (m *model) read(i int) {
 	if m.linked(storeLink, i) {
-		m.learn(i, m.store)
+		m.apply(i, m.store)
 		m.vms[i].holder.Read("g", m.store.Version, m.now)
 	}
 }
 
-// renew asks the coordinator that the VM knows of for its promise.
+// renew asks the coordinator known to the VM for a promise.
 func (m *model) renew(i int) {
 	v := m.vms[i]
 	row := v.holder.Row("g")
@@ -148,12 +148,12 @@
 	}
 	c.Withdraw("g")
 	if !m.write(i, row.Closed("model")) && m.linked(storeLink, i) {
-		m.learn(i, m.store)
+		m.apply(i, m.store)
 		c.Restore("g")
 	}
 }
 
-// promote replaces the primary when the coordinator takes all rights for ended.
+// promote replaces the primary if the coordinator reports that all rights have ended.
 func (m *model) promote(t *testing.T, i int, seed uint64) (broken bool) {
 	c := m.vms[i].coordinator
 	row := c.Row("g")
@@ -163,7 +163,7 @@
 	m.promotions++
 	for _, v := range m.vms {
 		if r, ok := v.holder.Right("g", m.now); ok {
-			if m.mistake == nil {
+			if m.bug == nil {
 				t.Errorf("seed %d: %s has the right for %s in term %d at a promotion by vm-%d", seed, v.vm.ID, r.Primary, r.Term, i)
 			}
 			return true
@@ -186,13 +186,13 @@
 }
 
 func (m *model) restart(i int) {
-	if m.linked(storeLink, i) { // A start needs the store for its incarnation.
+	if m.linked(storeLink, i) { // A VM needs the store to get an incarnation.
 		m.startVM(i, m.vms[i].vm.Incarnation+1)
 		m.read(i)
 	}
 }
 
-// step does one thing, most often what goes on all the time.
+// step performs one random action; the periodic ones are the most likely.
 func (m *model) step(t *testing.T, seed uint64) (broken bool) {
 	m.now = m.now.Add(time.Duration(m.random.IntN(60)) * time.Millisecond)
 	i := m.random.IntN(modelVMs)
@@ -224,7 +224,7 @@
 	return false
 }
 
-// BTS_MODEL_SEEDS plays more seeds.
+// seeds returns the number of seeds to run; BTS_MODEL_SEEDS overrides it.
 func seeds(t *testing.T) uint64 {
 	text := os.Getenv("BTS_MODEL_SEEDS")
 	if text == "" {
@@ -237,9 +237,9 @@
 	return n
 }
 
-// Cuts, restarts, takeovers and replacements in any order: no VM acknowledges for a
-// primary that has been replaced.
-func TestModelNoRightAtAPromotion(t *testing.T) {
+// Link failures, restarts, takeovers and replacements in any order must not leave a VM that
+// acknowledges requests to a replaced primary.
+func TestModelNoRightAtPromotion(t *testing.T) {
 	promotions := 0
 	for seed := range seeds(t) {
 		m := newModel(seed, nil)
@@ -247,31 +247,31 @@
 		promotions += m.promotions
 	}
 	if promotions < int(modelSeeds) {
-		t.Fatalf("only %d promotions: the model shows nothing", promotions)
+		t.Fatalf("only %d promotions, too few for the model to check anything", promotions)
 	}
 	t.Logf("%d promotions", promotions)
 }
 
-// The model must find what it is for: a chain of takeovers that forgets the earlier
-// coordinators, and one that takes every former coordinator for ended.
-func TestModelFindsPlantedMistakes(t *testing.T) {
-	mistakes := map[string]func(*lease.Row) *lease.Row{
-		"earlier coordinators forgotten": func(r *lease.Row) *lease.Row {
+// The model must detect the faults it is made for: a chain of takeovers that loses the earlier
+// coordinators, and one that considers every former coordinator stopped.
+func TestModelDetectsInjectedBugs(t *testing.T) {
+	bugs := map[string]func(*lease.Row) *lease.Row{
+		"earlier coordinators are lost": func(r *lease.Row) *lease.Row {
 			n := *r
 			if len(n.Formers) > 1 {
 				n.Formers = n.Formers[len(n.Formers)-1:]
 			}
 			return &n
 		},
-		"no coordinator waited for": func(r *lease.Row) *lease.Row { return r.Settled() },
+		"no coordinator is waited for": func(r *lease.Row) *lease.Row { return r.Settled() },
 	}
-	for name, mistake := range mistakes {
-		found := false
-		for seed := uint64(0); seed < 40*modelSeeds && !found; seed++ {
-			found = newModel(seed, mistake).run(t, seed)
+	for name, bug := range bugs {
+		detected := false
+		for seed := uint64(0); seed < 40*modelSeeds && !detected; seed++ {
+			detected = newModel(seed, bug).run(t, seed)
 		}
-		if !found {
-			t.Errorf("%s: not found", name)
+		if !detected {
+			t.Errorf("%s: not detected", name)
 		}
 	}
 }
--- a/pkg/lease/row.go
+++ b/pkg/lease/row.go
@@ -1,17 +1,17 @@
-// Package lease decides which VMs may acknowledge for the primary of a group when
-// every VM connects to the targets itself.
+// Package lease decides which VMs may acknowledge requests to the primary of a group
+// when every VM connects to the targets itself.
 //
 // Each group has a row in the metadata store. It names the primary, its term and
 // one VM as the group's coordinator, the only one that may order a promotion. A VM
 // has the right to acknowledge for a limited time, from either of two sources: a
-// promise of the coordinator, or its own reading of the row. Two sources keep
-// writes going when either the store or the coordinator can't be reached. To
-// replace the primary the coordinator first closes the row, which ends readings as a
-// source, stops promising, and waits until every VM has confirmed that it holds
-// no right, or until all rights have lapsed.
+// promise of the coordinator, or its own read of the row. With two sources, writes
+// continue when either the store or the coordinator can't be reached. To replace the
+// primary the coordinator first closes the row, which ends reads as a source, and stops
+// giving promises. It then waits until every VM has confirmed that it has no right, or
+// until all rights have lapsed.
 //
-// The package is pure: instants come in, decisions go out. Not safe for concurrent
-// use.
+// The package does no I/O and reads no clock: callers pass in the times and carry out the
+// decisions. Its types are not safe for concurrent use.
 package lease
 
 import (
@@ -23,28 +23,30 @@
 )
 
 const (
-	// Duration of a right, from when its source was asked. It bounds the wait for
-	// a VM that can't be reached, and outlives two lost renewals.
+	// Duration is how long a right is valid, from when its source was asked. It bounds
+	// the wait for a VM that can't be reached, and covers two lost renewals.
 	Duration = 800 * time.Millisecond
-	// margin by which a coordinator waits longer: clocks of VMs err by well under
-	// 0.1 %.
+	// margin is how much longer a coordinator waits, since the clocks of VMs run at
+	// slightly different rates; they deviate by well under 0.1 %.
 	margin = Duration / 100
-	// storeGrace is how long a coordinator promises without having read the row as
-	// its own: its watch is answered twice a second. A takeover has to wait it out, and
-	// a coordinator that hears most of its witnesses goes on without it.
+	// storeGrace is for how long after its last read of the row a coordinator gives
+	// promises without further conditions. Its watch of the store is answered twice a
+	// second. A takeover has to wait this time out; a coordinator in contact with most
+	// of its witnesses continues beyond it.
 	storeGrace = 800 * time.Millisecond
-	// contactGrace: longer than that it promises only while it has heard most of
-	// the row's witnesses within this time, which is two renewals and some.
+	// contactGrace is the time within which a coordinator must have had contact with most
+	// of the row's witnesses to give promises beyond storeGrace. It is a little more than
+	// two renewals.
 	contactGrace = 600 * time.Millisecond
-	// CoordinatorLimit is how long it promises without the store at all. It outlasts
-	// outages of the store of some seconds.
+	// CoordinatorLimit is how long a coordinator gives promises without reaching the
+	// store at all. It covers store outages of some seconds.
 	CoordinatorLimit = 12 * time.Second
 	// MaxWitnesses bounds the witnesses in a row: enough that three of them may be
-	// lost, few enough for a row that is sent about.
+	// lost, and few enough for a row that is sent to other VMs.
 	MaxWitnesses = 7
-	// historyKept bounds the ends of earlier terms in a row: floors and samples
-	// are seconds old, so only the last few are asked for.
-	historyKept = 20
+	// maxHistory bounds the ends of earlier terms in a row: floors and samples
+	// are seconds old, so only the last few are looked up.
+	maxHistory = 20
 )
 
 // Row is a group's row in the store. Each change raises Version.
@@ -53,61 +55,62 @@
 	Version uint64            `json:"version" msgpack:"v"`
 	Term    uint64            `json:"term" msgpack:"t"`
 	Primary topology.TargetID `json:"primary" msgpack:"p"`
-	// Coordinator alone may change the primary; any VM may take its place.
+	// Coordinator is the only VM that may change the primary. Any VM may take over from it.
 	Coordinator topology.VMID        `json:"coordinator" msgpack:"c"`
 	Incarnation topology.Incarnation `json:"incarnation" msgpack:"i"`
 	// Fence rises whenever the coordinator changes.
 	Fence uint64 `json:"fence" msgpack:"f"`
-	// Witnesses are VMs of which the coordinator has to hear most while it does not
-	// reach the store. A VM that takes its place learns from most of the same ones
-	// that they follow it; two majorities share a VM, so the earlier coordinator
-	// has stopped by then, also when neither hears of the other.
+	// Witnesses are the VMs with most of which the coordinator must be in contact while
+	// it can't reach the store. A VM that takes over learns from most of the same VMs
+	// that they have adopted the takeover. Two majorities share a VM, so the earlier
+	// coordinator has stopped by then, even if the two can't reach each other.
 	Witnesses []topology.VMID `json:"witnesses,omitempty" msgpack:"w,omitempty"`
-	// Ended: the coordinator before this one had stopped promising when this one was
-	// put in place.
+	// Ended is set if the previous coordinator had stopped giving promises when this one
+	// took over.
 	Ended bool `json:"ended,omitempty" msgpack:"e,omitempty"`
-	// Formers are earlier coordinators that may not have stopped. They go from one
-	// coordinator to the next until one has seen them stop: a second takeover soon
-	// after a first must wait for all of them.
+	// Formers are earlier coordinators that may not have stopped. They are passed from
+	// one coordinator to the next until one knows that they have stopped: a second
+	// takeover soon after a first must wait for all of them.
 	Formers []Former `json:"formers,omitempty" msgpack:"o,omitempty"`
-	// Handover is set while the primary is being replaced: nobody has a right.
+	// Handover is set while the primary is being replaced; no VM has a right then.
 	Handover *Handover          `json:"handover,omitempty" msgpack:"h,omitempty"`
 	History  []topology.TermEnd `json:"history,omitempty" msgpack:"y,omitempty"`
 }
 
-// Former is an earlier coordinator that may go on promising.
+// Former is an earlier coordinator that may still give promises.
 type Former struct {
 	VM topology.VMID `json:"vm" msgpack:"c"`
-	// Version of the row that took its place.
+	// Version is the row version that replaced it as the coordinator.
 	Version   uint64          `json:"version" msgpack:"v"`
 	Witnesses []topology.VMID `json:"witnesses" msgpack:"w"`
 }
 
-// Handover is a change of the primary under way.
+// Handover is a change of the primary that is in progress.
 type Handover struct {
-	// ClosedAt is the version that closed the row.
+	// ClosedAt is the row version that closed the row.
 	ClosedAt uint64 `json:"closed_at" msgpack:"c"`
-	// Candidate is to be promoted; empty while none is chosen. It stays for as long
-	// as its promotion may still take effect.
+	// Candidate is the target to be promoted, or empty while none is chosen. It stays
+	// set for as long as its promotion may still take effect.
 	Candidate topology.TargetID `json:"candidate" msgpack:"t"`
-	// End is what the candidate held when it was chosen: the end of the term.
+	// End is the candidate's position when it was chosen: the end of the term.
 	End position.Position `json:"end" msgpack:"e"`
-	// Complete: the former primary has stepped down, and held no more. Otherwise it may come back with more if the
-	// candidate is not promoted in the end.
+	// Complete is set if the former primary has stepped down and held nothing beyond End.
+	// Otherwise it may come back with later entries if the candidate is not promoted
+	// after all.
 	Complete bool `json:"complete,omitempty" msgpack:"o,omitempty"`
-	// Reason is for the operators.
+	// Reason is shown to operators.
 	Reason string `json:"reason" msgpack:"r"`
 }
 
 // Open reports whether rights may be held under the row.
 func (r *Row) Open() bool { return r.Handover == nil }
 
-// Topology returns the row as the routing decisions take it.
+// Topology returns the row in the form that routing uses.
 func (r *Row) Topology() *topology.Group {
 	return &topology.Group{ID: r.Group, Version: r.Version, Term: r.Term, Primary: r.Primary, History: r.History}
 }
 
-// next returns a copy that may be changed, one version on.
+// next returns a copy with the next version, which the caller may modify.
 func (r *Row) next() *Row {
 	n := *r
 	n.Version++
@@ -119,9 +122,9 @@
 	return &n
 }
 
-// TakenBy returns the row with another coordinator. by is the VM that changes it: if it
-// is the present coordinator itself, or a later start of it, nobody goes on promising
-// by the earlier version. witnesses are those of the new one.
+// TakenBy returns the row with another coordinator and its witnesses. by is the VM that
+// makes the change: if it is the current coordinator, in the same or a later incarnation,
+// no VM goes on giving promises under the earlier version.
 func (r *Row) TakenBy(vm topology.VMID, incarnation topology.Incarnation, by topology.VMID, witnesses []topology.VMID) *Row {
 	n := r.next()
 	n.Ended = by == r.Coordinator
@@ -135,21 +138,21 @@
 	return n
 }
 
-// Settled returns the row without earlier coordinators, which are known to have stopped.
+// Settled returns the row without Formers, once all of them are known to have stopped.
 func (r *Row) Settled() *Row {
 	n := *r
 	n.Formers = nil
 	return &n
 }
 
-// Closed returns the row with a handover begun.
+// Closed returns the row closed by the start of a handover.
 func (r *Row) Closed(reason string) *Row {
 	n := r.next()
 	n.Handover = &Handover{ClosedAt: n.Version, Reason: reason}
 	return n
 }
 
-// Choosing returns the row with the candidate chosen; complete is as in Handover.
+// Choosing returns the row with the handover's candidate set; end and complete are as in Handover.
 func (r *Row) Choosing(candidate topology.TargetID, end position.Position, complete bool) *Row {
 	n := r.next()
 	n.Handover.Candidate, n.Handover.End, n.Handover.Complete = candidate, end, complete
@@ -160,26 +163,26 @@
 func (r *Row) Opened(term uint64) *Row {
 	n := r.next()
 	n.History = append(n.History, topology.TermEnd{Term: r.Term, End: r.Handover.End})
-	if extra := len(n.History) - historyKept; extra > 0 {
+	if extra := len(n.History) - maxHistory; extra > 0 {
 		n.History = n.History[extra:]
 	}
 	n.Primary, n.Term, n.Handover = r.Handover.Candidate, term, nil
-	n.Formers = nil // Before the promotion every right had ended.
+	n.Formers = nil // All rights had ended before the promotion.
 	return n
 }
 
-// Returned returns the row with the handover ended by a target that leads the present term
-// already: the primary has started again under another name and with its log. No term has
-// ended, so no history is added, and nothing that was acknowledged is lost.
+// Returned returns the row with the handover ended by a target that is already the primary
+// in the current term: the primary has restarted under another name, with its log. No term
+// has ended, so no history is added, and no acknowledged write is lost.
 func (r *Row) Returned(primary topology.TargetID) *Row {
 	n := r.next()
 	n.Primary, n.Handover = primary, nil
-	n.Formers = nil // Before the change every right had ended.
+	n.Formers = nil // All rights had ended before the change.
 	return n
 }
 
-// Resumed returns the row with the handover given up: the primary stays. Writing it
-// over an open row makes sure that a change sent before can't take effect any more.
+// Resumed returns the row with the handover cancelled: the primary stays. Writing it
+// over an open row ensures that a change sent earlier can no longer take effect.
 func (r *Row) Resumed() *Row {
 	n := r.next()
 	n.Handover = nil
