--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -1,5 +1,5 @@
-// Package placement decides which VMs hold connections to a target where the target
-// takes too few for all of them.
+// Package placement decides which VMs hold connections to a target if the target
+// accepts too few connections for all of them.
 package placement
 
 import (
@@ -13,30 +13,31 @@
 )
 
 const (
-	// Reserve is how many connections of a target are left for commands to it and for
-	// VMs that start.
+	// Reserve is how many connections of a target are left free for commands to it and
+	// for VMs that start.
 	Reserve = 2
-	// perHolder is how many connections a holder has at least where not all VMs can hold one:
-	// a transaction keeps one through its pauses, so a single one would starve the
-	// statements beside it.
-	perHolder = 4
-	// mostPerHolder is how many it has at most: more statements at once only wait at the target,
-	// in no order.
-	mostPerHolder = 6
-	// mostHolders bounds the holders of a target. Among many VMs each sends a target little; with
-	// few holders the connections to them are in use, and a holder's are, too. Some may be lost at once.
-	mostHolders = 6
+	// minPerHolder is the least number of connections of a holder if not all VMs can hold one.
+	// A transaction keeps its connection while it is idle, so with a single connection the
+	// holder's other statements would starve.
+	minPerHolder = 4
+	// maxPerHolder is the greatest number of connections of a holder in that case: more
+	// concurrent statements would only wait at the target, in no defined order.
+	maxPerHolder = 6
+	// maxHolders bounds the holders of a target. Each of many VMs sends a target few statements.
+	// With few holders, both the connections to the holders and those of the holders to the
+	// target are well used. Several holders may be lost at once.
+	maxHolders = 6
 )
 
-// VMs are the VMs among which holders are chosen. It is made once for each list of VMs and not changed.
+// VMs is the set of VMs among which holders are chosen. It is built once for each list of VMs and immutable.
 type VMs struct {
 	all []topology.VM
-	// near are the candidates of each data centre, and every those of all.
-	near  map[topology.DataCentre][]candidate
-	every []candidate
+	// byDataCentre are the candidates of each data centre, and candidates those of all.
+	byDataCentre map[topology.DataCentre][]candidate
+	candidates   []candidate
 }
 
-// candidate is a VM as it is drawn.
+// candidate is a VM with the properties that the choice of holders uses.
 type candidate struct {
 	vm         topology.VMID
 	dataCentre topology.DataCentre
@@ -44,42 +45,44 @@
 	cores      float64
 }
 
-// NewVMs prepares a list of VMs.
+// NewVMs prepares a list of VMs for the choice of holders.
 func NewVMs(vms []topology.VM) *VMs {
-	v := &VMs{all: vms, near: map[topology.DataCentre][]candidate{}}
+	v := &VMs{all: vms, byDataCentre: map[topology.DataCentre][]candidate{}}
 	for _, vm := range vms {
 		c := candidate{vm: vm.ID, dataCentre: vm.DataCentre, hash: xxhash.Sum64String(string(vm.ID)), cores: vm.Cores}
 		if c.cores <= 0 {
 			c.cores = 1
 		}
-		v.near[vm.DataCentre] = append(v.near[vm.DataCentre], c)
-		v.every = append(v.every, c)
+		v.byDataCentre[vm.DataCentre] = append(v.byDataCentre[vm.DataCentre], c)
+		v.candidates = append(v.candidates, c)
 	}
 	return v
 }
 
-// Holders returns the VMs that connect to a target themselves, given how many
-// connections it takes in all: every VM while each can have one, otherwise a few, those
-// of the target's own data centre first, and the more often the more processor time they have. All
-// VMs find the same ones from the same list, without asking each other.
+// Holders returns the VMs that connect to a target themselves, given how many connections
+// the target accepts in total. These are all VMs if each can have a connection, and otherwise
+// a few: those of the target's own data centre first, each with a probability that grows with
+// its processor time. All VMs compute the same holders from the same list, without
+// communication.
 func (v *VMs) Holders(t topology.Target, connections int) []topology.VMID {
-	places := connections - Reserve
-	if places >= len(v.all) {
+	available := connections - Reserve
+	if available >= len(v.all) {
 		return idsOf(v.all)
 	}
-	n := min(len(v.all), mostHolders, max(1, places/perHolder))
-	holders := draw(t, v.near[t.DataCentre], n, "")
+	n := min(len(v.all), maxHolders, max(1, available/minPerHolder))
+	holders := draw(t, v.byDataCentre[t.DataCentre], n, "")
 	if len(holders) < n {
-		holders = append(holders, draw(t, v.every, n-len(holders), t.DataCentre)...)
+		holders = append(holders, draw(t, v.candidates, n-len(holders), t.DataCentre)...)
 	}
 	return holders
 }
 
-// Share is how many connections each of the holders may have as a rule, among so many VMs.
+// Share returns how many connections each holder may normally have, given the numbers of holders,
+// of VMs and of connections that the target accepts.
 func Share(holders, vms, connections int) int {
 	share := max(1, (connections-Reserve)/max(1, holders))
 	if holders < vms {
-		return min(share, mostPerHolder)
+		return min(share, maxPerHolder)
 	}
 	return share
 }
@@ -92,22 +95,22 @@
 	return ids
 }
 
-// draw takes n of the candidates by weighted rendezvous hashing, leaving out those of one data centre: a VM that
-// comes or goes moves only what it holds.
-func draw(t topology.Target, from []candidate, n int, except topology.DataCentre) []topology.VMID {
-	of := xxhash.Sum64String(string(t.ID))
+// draw chooses n of the candidates by weighted rendezvous hashing, leaving out those of one data
+// centre. If a VM is added or removed, only the targets that it holds move.
+func draw(t topology.Target, candidates []candidate, n int, except topology.DataCentre) []topology.VMID {
+	targetHash := xxhash.Sum64String(string(t.ID))
 	best := make([]topology.VMID, 0, n+1)
 	costs := make([]float64, 0, n+1)
-	for i := range from {
-		if except != "" && from[i].dataCentre == except {
+	for i := range candidates {
+		if except != "" && candidates[i].dataCentre == except {
 			continue
 		}
-		cost := from[i].cost(of)
+		cost := candidates[i].cost(targetHash)
 		if len(best) == n && cost >= costs[n-1] {
 			continue
 		}
-		at, _ := slices.BinarySearch(costs, cost)
-		best, costs = slices.Insert(best, at, from[i].vm), slices.Insert(costs, at, cost)
+		pos, _ := slices.BinarySearch(costs, cost)
+		best, costs = slices.Insert(best, pos, candidates[i].vm), slices.Insert(costs, pos, cost)
 		if len(best) > n {
 			best, costs = best[:n], costs[:n]
 		}
@@ -115,21 +118,21 @@
 	return best
 }
 
-// cost draws a number from the exponential distribution whose rate is the VM's processor time: the
-// least of several is each one's in proportion to its rate.
-func (c *candidate) cost(of uint64) float64 {
+// cost draws a number from the exponential distribution whose rate is the VM's processor time. Among
+// several VMs, the probability of having the lowest cost is proportional to the rate.
+func (c *candidate) cost(targetHash uint64) float64 {
 	const mantissa = 53 // bits of a float64
-	h := mix(of ^ c.hash)
+	h := mix(targetHash ^ c.hash)
 	uniform := (float64(h>>(64-mantissa)) + 1) / (1 << mantissa)
 	return -math.Log(uniform) / c.cores
 }
 
-// ForCustomer orders a target's holders for one customer. Its connections are kept by the first that can be
-// reached, so that its requests from all VMs find them there; with each request at another holder most
-// would have to open one.
+// ForCustomer orders a target's holders by preference for one customer. The first holder that can be
+// reached keeps the customer's connections, so that its requests from all VMs find them there. If the
+// requests were spread over the holders, most of them would have to open a connection.
 func ForCustomer(t topology.TargetID, customer topology.CustomerID, holders []topology.VMID) []topology.VMID {
-	of := xxhash.Sum64String(string(t)) ^ mix(xxhash.Sum64String(string(customer)))
-	rank := func(id topology.VMID) uint64 { return mix(of ^ xxhash.Sum64String(string(id))) }
+	seed := xxhash.Sum64String(string(t)) ^ mix(xxhash.Sum64String(string(customer)))
+	rank := func(id topology.VMID) uint64 { return mix(seed ^ xxhash.Sum64String(string(id))) }
 	ordered := slices.Clone(holders)
 	slices.SortFunc(ordered, func(a, b topology.VMID) int { return cmp.Compare(rank(a), rank(b)) })
 	return ordered
--- a/pkg/placement/placement_test.go
+++ b/pkg/placement/placement_test.go
@@ -20,7 +20,7 @@
 	return placement.NewVMs(vms).Holders(t, connections)
 }
 
-func TestEveryVMHoldsWhereEachCan(t *testing.T) {
+func TestAllVMsHoldIfEachCanConnect(t *testing.T) {
 	if got := holdersOf(topology.Target{ID: "t"}, vms(7), 16); len(got) != 7 {
 		t.Fatalf("%v", got)
 	}
@@ -29,9 +29,9 @@
 	}
 }
 
-// 89 VMs before a target of 27 connections: with one each, most would be refused for as
-// long as the others live.
-func TestAFewHoldWhereNotAllCan(t *testing.T) {
+// Guards against VMs that the target refuses for as long as others keep their connections: 89 VMs
+// use a target that accepts 27 connections, too few for one each.
+func TestFewVMsHoldIfNotAllCanConnect(t *testing.T) {
 	target := topology.Target{ID: "t", DataCentre: "dc-1"}
 	holders := holdersOf(target, vms(89), 27)
 	if len(holders) != 6 || placement.Share(len(holders), 89, 27)*len(holders) > 27-placement.Reserve {
@@ -43,7 +43,7 @@
 			t.Fatalf("%s is in another data centre", id)
 		}
 	}
-	// One VM fewer moves only what it held.
+	// Removing one VM must move only what it held.
 	fewer := holdersOf(target, vms(88), 27)
 	same := 0
 	for _, a := range holders {
@@ -54,12 +54,13 @@
 		}
 	}
 	if same < len(holders)-1 {
-		t.Fatalf("%v became %v", holders, fewer)
+		t.Fatalf("holders changed from %v to %v", holders, fewer)
 	}
 }
 
-// Guards against connections that grow with a target's places, where its VMs are many more.
-func TestManyPlacesHaveFewHolders(t *testing.T) {
+// Guards against a number of holders that grows with the connections that a target accepts, if there
+// are many more VMs than connections.
+func TestHoldersAreBoundedForManyConnections(t *testing.T) {
 	holders := holdersOf(topology.Target{ID: "t", DataCentre: "dc-1"}, vms(295), 88)
 	if len(holders) != 6 {
 		t.Fatalf("%v", holders)
@@ -69,8 +70,8 @@
 	}
 }
 
-// A VM with four times the processor time of the others holds about four times as many targets.
-func TestHoldersAreDrawnByProcessorTime(t *testing.T) {
+// A VM with four times the processor time of the others must hold about four times as many targets.
+func TestHoldersAreWeightedByProcessorTime(t *testing.T) {
 	all := vms(60)
 	for i := range all {
 		all[i].DataCentre, all[i].Cores = "dc", 0.2
@@ -91,12 +92,12 @@
 	}
 	mean := float64(others) / float64(len(all)-1)
 	if ratio := float64(held["vm-7"]) / mean; ratio < 3 || ratio > 5 {
-		t.Fatalf("%d targets, the others %.1f each", held["vm-7"], mean)
+		t.Fatalf("vm-7 holds %d targets, the others %.1f each", held["vm-7"], mean)
 	}
 }
 
-// Guards against VMs that are busy choosing holders while hundreds of VMs start: each new VM moves the holders
-// of all targets.
+// Guards against a choice of holders that takes much processor time while hundreds of VMs start: with each
+// new VM the holders of all targets are chosen again.
 func BenchmarkHoldersOfAllTargets(b *testing.B) {
 	all := placement.NewVMs(vms(300))
 	for b.Loop() {
@@ -106,7 +107,7 @@
 	}
 }
 
-// One customer's requests meet at one holder, and the customers spread over the holders.
+// The requests of one customer go to one holder, and the customers must spread evenly over the holders.
 func TestCustomersSpreadOverHolders(t *testing.T) {
 	holders := holdersOf(topology.Target{ID: "t", DataCentre: "dc-1"}, vms(81), 62)
 	first := map[topology.VMID]int{}
--- a/pkg/placement/source.go
+++ b/pkg/placement/source.go
@@ -10,25 +10,27 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// perTeller is how many VMs get a change of the store from one other: as many as its link bears at once.
-const perTeller = 6
+// vmsPerSource is how many VMs fetch a change of the store from the same VM: as many as its network link can
+// serve at once.
+const vmsPerSource = 6
 
-// Teller returns the VM of the same data centre from which a VM gets a change of the store, and false if the VM
-// reads it from the store itself. Few do, so that a change costs each data centre few calls and few
-// transfers. They are those with the most processor time, and others with each version.
+// Teller returns the VM of the same data centre from which self fetches a change of the store, and false if
+// self reads it from the store. Only a few VMs of a data centre do, so that a change costs the data centre
+// few calls and few transfers. They are the VMs with the most processor time; among VMs with equal processor
+// time the choice depends on the version.
 func Teller(self topology.VM, vms []topology.VM, version uint64) (topology.VM, bool) {
-	near := slices.DeleteFunc(slices.Clone(vms), func(vm topology.VM) bool { return vm.DataCentre != self.DataCentre })
-	var of [8]byte
-	binary.LittleEndian.PutUint64(of[:], version)
-	seed := xxhash.Sum64(of[:])
+	candidates := slices.DeleteFunc(slices.Clone(vms), func(vm topology.VM) bool { return vm.DataCentre != self.DataCentre })
+	var key [8]byte
+	binary.LittleEndian.PutUint64(key[:], version)
+	seed := xxhash.Sum64(key[:])
 	rank := func(vm topology.VM) uint64 { return mix(seed ^ xxhash.Sum64String(string(vm.ID))) }
-	slices.SortFunc(near, func(a, b topology.VM) int {
+	slices.SortFunc(candidates, func(a, b topology.VM) int {
 		return cmp.Or(cmp.Compare(b.Cores, a.Cores), cmp.Compare(rank(a), rank(b)))
 	})
-	tellers := (len(near) + perTeller) / (perTeller + 1)
-	at := slices.IndexFunc(near, func(vm topology.VM) bool { return vm.ID == self.ID })
-	if at < tellers {
-		return topology.VM{}, false // Also if the VM is not registered yet.
+	sources := (len(candidates) + vmsPerSource) / (vmsPerSource + 1)
+	at := slices.IndexFunc(candidates, func(vm topology.VM) bool { return vm.ID == self.ID })
+	if at < sources {
+		return topology.VM{}, false // Also if self is not registered yet, so that at is -1.
 	}
-	return near[at%tellers], true
+	return candidates[at%sources], true
 }
--- a/pkg/placement/source_test.go
+++ b/pkg/placement/source_test.go
@@ -7,42 +7,42 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Guards against a change that each VM reads from the store, or that one VM has to tell many others.
-func TestFewReadAChangeAndTellTheOthers(t *testing.T) {
+// Guards against a change that every VM reads from the store, or that one VM has to send to many others.
+func TestFewVMsReadChangeFromStore(t *testing.T) {
 	all := vms(81)
 	for version := range uint64(20) {
-		told := map[topology.VMID]int{}
+		fetches := map[topology.VMID]int{}
 		readers := map[topology.VMID]bool{}
 		for _, vm := range all {
-			teller, ok := placement.Teller(vm, all, version)
+			source, ok := placement.Teller(vm, all, version)
 			if !ok {
 				readers[vm.ID] = true
 				continue
 			}
-			if teller.DataCentre != vm.DataCentre {
-				t.Fatalf("%s is told from %s", vm.ID, teller.DataCentre)
+			if source.DataCentre != vm.DataCentre {
+				t.Fatalf("%s fetches changes from %s", vm.ID, source.DataCentre)
 			}
-			told[teller.ID]++
+			fetches[source.ID]++
 		}
 		if len(readers) > 15 {
-			t.Errorf("version %d: %d VMs read it", version, len(readers))
+			t.Errorf("version %d: %d VMs read it from the store", version, len(readers))
 		}
-		for id, n := range told {
+		for id, n := range fetches {
 			if !readers[id] || n > 7 {
-				t.Errorf("version %d: %s tells %d VMs, and reads it itself: %v", version, id, n, readers[id])
+				t.Errorf("version %d: %s sends it to %d VMs; reads it from the store itself: %v", version, id, n, readers[id])
 			}
 		}
 	}
 }
 
-func TestAVMAloneReadsChangesItself(t *testing.T) {
+func TestOnlyVMOfDataCentreReadsFromStore(t *testing.T) {
 	all := vms(3) // Each in a data centre of its own.
 	for _, vm := range all {
-		if teller, ok := placement.Teller(vm, all, 7); ok {
-			t.Errorf("%s is told by %s", vm.ID, teller.ID)
+		if source, ok := placement.Teller(vm, all, 7); ok {
+			t.Errorf("%s fetches changes from %s", vm.ID, source.ID)
 		}
 	}
 	if _, ok := placement.Teller(topology.VM{ID: "unknown", DataCentre: "dc-0"}, all, 7); ok {
-		t.Error("a VM that is not registered is told")
+		t.Error("a VM that is not registered fetches changes from another VM")
 	}
 }
