--- a/pkg/waitlist/waitlist.go
+++ b/pkg/waitlist/waitlist.go
@@ -1,7 +1,7 @@
 // Package waitlist decides which of the requests that wait for a connection to a target gets
-// the next one, how long a new one would wait, and whether it should wait at all.
+// the next one, how long a new request would wait, and whether it should wait at all.
 //
-// It does no I/O and reads no clock. Not safe for concurrent use.
+// It does no I/O and reads no clock. Its types are not safe for concurrent use.
 package waitlist
 
 import (
@@ -12,24 +12,24 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Request is what is asked of a list.
+// Request is a request for a connection.
 type Request struct {
-	// Priority: lower numbers go first.
+	// Priority is lower for more urgent requests.
 	Priority int
-	// Useful is when the answer has to come to be within the objective of its class.
+	// Useful is the time by which the answer must arrive to meet the latency objective of the request's class.
 	Useful mono.Time
-	// Deadline is until when the request may wait.
+	// Deadline is the time until which the request may wait.
 	Deadline mono.Time
-	// Customer whose session asks; connections may be one customer's.
+	// Customer is the customer of the session; a connection may belong to one customer.
 	Customer topology.CustomerID
-	// Anyone: a connection of any customer serves.
+	// Anyone is set if a connection of any customer can serve the request.
 	Anyone bool
 }
 
-// Waiter is a request that waits.
+// Waiter is a waiting request.
 type Waiter[T any] struct {
 	Request
-	// Value is the caller's own, and Since when it was added.
+	// Value is the caller's, and Since is when the request was added.
 	Value T
 	Since mono.Time
 
@@ -38,22 +38,22 @@
 	late  bool
 }
 
-// List orders the waiting requests. It answers the load in which a target's connections are all
-// in use. Those that can still be answered within their objective go first, by priority, then by
-// objective; the others, by priority and deadline, get what these leave. In order of their
-// deadlines alone all requests become late together once more come than can be served, and stay
-// so for as long as the load lasts. The zero value is empty.
+// List orders the waiting requests while all connections of a target are in use. Requests that can
+// still be answered within their objective go first, by priority, then by objective. The others
+// follow, by priority, then by deadline, with the capacity that is left. Ordering by deadline alone
+// would make all requests late once more arrive than can be served, and keep them late for as long
+// as the load lasts. The zero value is an empty list.
 type List[T any] struct {
 	inTime, late queue[T]
 	seq          uint64
-	// missed is when a request last became late, by priority.
-	missed map[int]mono.Time
+	// lastMiss is when a request last became late, by priority.
+	lastMiss map[int]mono.Time
 }
 
-// Len counts the waiting requests.
+// Len returns the number of waiting requests.
 func (l *List[T]) Len() int { return len(l.inTime.items) + len(l.late.items) }
 
-// Add lets a request wait. service is the usual time of an answer once it has a connection.
+// Add adds a request. service is the usual time from getting a connection to the answer.
 func (l *List[T]) Add(r Request, value T, now mono.Time, service time.Duration) *Waiter[T] {
 	l.seq++
 	w := &Waiter[T]{Request: r, Value: value, Since: now, seq: l.seq, late: now.Add(service).After(r.Useful)}
@@ -61,18 +61,18 @@
 	return w
 }
 
-// Missed notes that a request of a priority can't be answered within its objective.
+// Missed records that a request of the priority can't be answered within its objective.
 func (l *List[T]) Missed(priority int, now mono.Time) {
-	if l.missed == nil {
-		l.missed = map[int]mono.Time{}
+	if l.lastMiss == nil {
+		l.lastMiss = map[int]mono.Time{}
 	}
-	l.missed[priority] = now
+	l.lastMiss[priority] = now
 }
 
 // MissedSince reports whether a request of the priority, or of a more urgent one, has become late
-// since a moment: the target can't serve all of them.
+// after since, which means that the target can't serve all of them in time.
 func (l *List[T]) MissedSince(priority int, since mono.Time) bool {
-	for p, at := range l.missed {
+	for p, at := range l.lastMiss {
 		if p <= priority && at.After(since) {
 			return true
 		}
@@ -87,7 +87,7 @@
 	return &l.inTime
 }
 
-// Peek returns the request whose turn it is and leaves it waiting, or nil.
+// Peek returns the next request without removing it, or nil if none is waiting.
 func (l *List[T]) Peek(now mono.Time, service time.Duration) *Waiter[T] {
 	for len(l.inTime.items) > 0 {
 		w := l.inTime.items[0]
@@ -105,7 +105,7 @@
 	return l.late.items[0]
 }
 
-// Next removes and returns the request whose turn it is, or nil.
+// Next removes and returns the next request, or nil if none is waiting.
 func (l *List[T]) Next(now mono.Time, service time.Duration) *Waiter[T] {
 	w := l.Peek(now, service)
 	if w != nil {
@@ -114,14 +114,15 @@
 	return w
 }
 
-// NextOf removes and returns the request whose turn it is among those that are served, or nil.
-func (l *List[T]) NextOf(served func(*Request) bool, now mono.Time, service time.Duration) *Waiter[T] {
+// NextOf removes and returns the next request among those for which eligible returns true, or nil if
+// there is none.
+func (l *List[T]) NextOf(eligible func(*Request) bool, now mono.Time, service time.Duration) *Waiter[T] {
 	w := l.Peek(now, service)
 	if w == nil {
 		return nil
 	}
-	if !served(&w.Request) {
-		w = l.first(served)
+	if !eligible(&w.Request) {
+		w = l.first(eligible)
 	}
 	if w != nil {
 		l.Remove(w)
@@ -129,15 +130,15 @@
 	return w
 }
 
-// first returns the request whose turn it is among those that are served, or nil.
-func (l *List[T]) first(served func(*Request) bool) *Waiter[T] {
-	if w := l.inTime.first(served); w != nil {
+// first returns the next of the eligible requests, or nil.
+func (l *List[T]) first(eligible func(*Request) bool) *Waiter[T] {
+	if w := l.inTime.first(eligible); w != nil {
 		return w
 	}
-	return l.late.first(served)
+	return l.late.first(eligible)
 }
 
-// Each calls f for each request that waits, in no order.
+// Each calls f for each waiting request, in no particular order.
 func (l *List[T]) Each(f func(*Request)) {
 	for _, w := range l.inTime.items {
 		f(&w.Request)
@@ -147,7 +148,7 @@
 	}
 }
 
-// Remove reports whether the request still waited.
+// Remove removes a request, and reports whether it was still waiting.
 func (l *List[T]) Remove(w *Waiter[T]) bool {
 	if w.index < 0 {
 		return false
@@ -156,32 +157,33 @@
 	return true
 }
 
-// Wait is how long a new request would wait for one of the connections, of which each is held for
-// the given time. One that would be late by it waits behind all that are not.
+// Wait returns how long a new request would wait for one of the connections, each of which is held
+// for the given time per request. If this would make the request late, it waits behind all requests that
+// are not late.
 func (l *List[T]) Wait(r Request, now mono.Time, service, hold time.Duration, connections int) time.Duration {
 	if connections == 0 {
-		return 0 // Nothing is known yet.
+		return 0 // No connection is known yet.
 	}
-	ahead := func(n int) time.Duration { return time.Duration(n+1) * hold / time.Duration(connections) }
-	wait := ahead(l.inTime.before(r.Priority))
+	waitBehind := func(n int) time.Duration { return time.Duration(n+1) * hold / time.Duration(connections) }
+	wait := waitBehind(l.inTime.countBefore(r.Priority))
 	if !now.Add(wait + service).After(r.Useful) {
 		return wait
 	}
-	return ahead(len(l.inTime.items) + l.late.before(r.Priority))
+	return waitBehind(len(l.inTime.items) + l.late.countBefore(r.Priority))
 }
 
-// queue is a heap by priority, then by the instant that matters, then as they came.
+// queue is a heap ordered by priority, then by objective or deadline, then by arrival.
 type queue[T any] struct{ items []*Waiter[T] }
 
 func (q *queue[T]) Len() int { return len(q.items) }
 
 func (q *queue[T]) Less(i, j int) bool { return q.items[i].before(q.items[j]) }
 
-// first returns the first of the requests that are served, or nil.
-func (q *queue[T]) first(served func(*Request) bool) *Waiter[T] {
+// first returns the first of the eligible requests, or nil.
+func (q *queue[T]) first(eligible func(*Request) bool) *Waiter[T] {
 	var best *Waiter[T]
 	for _, w := range q.items {
-		if (best == nil || w.before(best)) && served(&w.Request) {
+		if (best == nil || w.before(best)) && eligible(&w.Request) {
 			best = w
 		}
 	}
@@ -227,8 +229,8 @@
 	return w
 }
 
-// before counts those that a new one of the priority would wait for.
-func (q *queue[T]) before(priority int) int {
+// countBefore returns how many requests a new one of the priority would wait for.
+func (q *queue[T]) countBefore(priority int) int {
 	n := 0
 	for _, w := range q.items {
 		if w.Priority <= priority {
