--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -8,136 +8,143 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Allocator collects what the VMs admit, and divides the limits among them.
+// Allocator collects the VMs' reports and divides the limits among them.
 type Allocator struct {
-	// began is when it began to collect; 0: it does not.
-	began     mono.Time
-	heard     map[topology.VMID]mono.Time
-	customers map[Tag]*allocated
+	// collectingSince is when the first report arrived, or 0 if none has.
+	collectingSince mono.Time
+	// reported is when each VM last reported.
+	reported  map[topology.VMID]mono.Time
+	customers map[Tag]*customerState
 	limits    Limits
-	stepped   mono.Time
+	lastStep  mono.Time
 	// vms is how many VMs there are, as far as known.
 	vms int
 }
 
-// allocated is one customer's limit.
-type allocated struct {
-	// over is how many operations more than the limit's rate were admitted lately.
-	over float64
-	near bool
-	// demand in operations a second, by VM.
+// customerState is the state of one customer's limit.
+type customerState struct {
+	// level is how many operations were recently admitted beyond the limit's rate, like the level of a leaky
+	// bucket.
+	level float64
+	near  bool
+	// demand is the demand at each VM.
 	demand map[topology.VMID]*demand
 }
 
-// demand is what a VM is asked for, averaged over about a second.
+// demand is the rate of a customer's operations that are offered to a VM, in operations per second, averaged over
+// about a second.
 type demand struct {
-	rate float64
-	at   mono.Time
-	// share that it was last told, which it may use until a moment.
-	share float64
-	until mono.Time
-	// silent: the VM was not heard for a while, and what it may admit is charged.
+	rate    float64
+	updated mono.Time
+	// share is the rate that was last sent to the VM, which may use it until shareUntil.
+	share      float64
+	shareUntil mono.Time
+	// silent is set once the VM has not reported for a while and what it may have admitted is charged.
 	silent bool
 }
 
 const (
-	// nearFrom and farBelow are the parts of a limit's room from which on its customer counts as near its
-	// limit, and below which no longer. What is left of the room is for what is admitted before all VMs know.
+	// nearFrom and farBelow are the fractions of a limit's room above which a customer counts as near its
+	// limit, and at or below which it no longer does. The rest of the room is for operations that are admitted
+	// before all VMs know that the customer is near its limit.
 	nearFrom = 0.25
 	farBelow = 0.05
-	// farDemand is the part of the limit below which the demand must be for the same.
+	// farDemand is the fraction of the limit's rate below which the demand must be as well for a customer no
+	// longer to count as near its limit.
 	farDemand = 0.9
-	// averagedOver is the time over which demand is averaged.
-	averagedOver = time.Second
-	// newcomers is the part of a limit that is left for VMs that have just begun to be asked.
-	newcomers = 0.05
-	// steadyAt is the part of the room that a customer at its limit has used in the long run. What is shared out
-	// differs from the limit by correction times the distance from it a window, within leastPart and mostPart
-	// of the limit.
-	steadyAt   = 0.4
-	correction = 14
-	leastPart  = 0.5
-	mostPart   = 1.6
-	// quietPart of the limit is shared out of a customer that is not near it: VMs keep to these shares only
-	// while they hear nothing.
-	quietPart = 0.8
+	// averagingTime is the time over which demand is averaged.
+	averagingTime = time.Second
+	// newcomerPart is the fraction of a limit that is left for VMs that have just begun to get a customer's
+	// operations.
+	newcomerPart = 0.05
+	// steadyLevel is the fraction of the room at which the level of a customer at its limit settles. The rate
+	// that is shared out differs from the limit's rate by gain times the distance from that level per window,
+	// within minSharedPart and maxSharedPart of the limit's rate.
+	steadyLevel   = 0.4
+	gain          = 14
+	minSharedPart = 0.5
+	maxSharedPart = 1.6
+	// farSharedPart is the fraction of the limit that is shared out while its customer is not near it. VMs keep
+	// to these shares only while they get no answers from the allocator.
+	farSharedPart = 0.8
 )
 
-// NewAllocator makes one that collects nothing yet.
+// NewAllocator returns an allocator that has collected no reports yet.
 func NewAllocator() *Allocator { return &Allocator{} }
 
-// Stop has it forget all: another VM collects.
+// Stop discards all state. It is called when another VM collects the reports.
 func (a *Allocator) Stop() { *a = Allocator{} }
 
-// SetVMs says how many VMs there are.
+// SetVMs sets the number of VMs.
 func (a *Allocator) SetVMs(n int) { a.vms = n }
 
-// Collects reports whether it collects.
-func (a *Allocator) Collects() bool { return a.began != 0 }
+// Collects reports whether a report has been collected since the start or the last Stop.
+func (a *Allocator) Collects() bool { return a.collectingSince != 0 }
 
-// Note takes over a VM's report, and returns the customers that have come near their limits by it.
+// Note processes a VM's report, and returns the customers that have come near their limits.
 func (a *Allocator) Note(vm topology.VMID, usage []Usage, limits Limits, now mono.Time) []Tag {
-	if a.began == 0 {
-		a.began, a.stepped = now, now
-		a.heard = map[topology.VMID]mono.Time{}
-		a.customers = map[Tag]*allocated{}
+	if a.collectingSince == 0 {
+		a.collectingSince, a.lastStep = now, now
+		a.reported = map[topology.VMID]mono.Time{}
+		a.customers = map[Tag]*customerState{}
 	}
 	a.limits = limits
-	a.heard[vm] = now
+	a.reported[vm] = now
 	for _, u := range usage {
 		l, ok := limits[u.Customer]
 		if !ok {
 			continue
 		}
-		c := a.of(u.Customer)
-		if u.Near && now.Sub(a.began) < shareFor {
-			c.takeOver(l)
+		c := a.customer(u.Customer)
+		if u.Near && now.Sub(a.collectingSince) < shareLifetime {
+			c.assumeNear(l)
 		}
-		c.over += float64(u.Admitted)
-		c.note(vm, u.Offered, now)
+		c.level += float64(u.Admitted)
+		c.addDemand(vm, u.Offered, now)
 	}
 	return a.step(now)
 }
 
-func (a *Allocator) of(tag Tag) *allocated {
+func (a *Allocator) customer(tag Tag) *customerState {
 	c := a.customers[tag]
 	if c == nil {
-		c = &allocated{demand: map[topology.VMID]*demand{}}
+		c = &customerState{demand: map[topology.VMID]*demand{}}
 		a.customers[tag] = c
 	}
 	return c
 }
 
-// takeOver goes on with a limit that the allocator before kept: the customer has used its room.
-func (c *allocated) takeOver(l Limit) {
-	c.near, c.over = true, max(c.over, l.Room)
+// assumeNear continues a limit that an earlier allocator has tracked as near: it assumes that the customer has
+// used its room.
+func (c *customerState) assumeNear(l Limit) {
+	c.near, c.level = true, max(c.level, l.Room)
 }
 
-func (c *allocated) note(vm topology.VMID, offered uint32, now mono.Time) {
+func (c *customerState) addDemand(vm topology.VMID, offered uint32, now mono.Time) {
 	d := c.demand[vm]
 	if d == nil {
-		d = &demand{at: now}
+		d = &demand{updated: now}
 		c.demand[vm] = d
 	}
 	d.decay(now)
-	d.rate += float64(offered) / averagedOver.Seconds()
+	d.rate += float64(offered) / averagingTime.Seconds()
 }
 
 func (d *demand) decay(now mono.Time) {
-	d.rate *= math.Exp(-now.Sub(d.at).Seconds() / averagedOver.Seconds())
-	d.at = now
+	d.rate *= math.Exp(-now.Sub(d.updated).Seconds() / averagingTime.Seconds())
+	d.updated = now
 }
 
-// stepPeriod is how often the levels are brought up to date.
+// stepPeriod is the least time between two updates of the levels.
 const stepPeriod = 50 * time.Millisecond
 
-// step brings all levels up to date, and returns the customers that have come near their limits.
+// step updates all levels, and returns the customers that have come near their limits.
 func (a *Allocator) step(now mono.Time) []Tag {
-	passed := now.Sub(a.stepped)
+	passed := now.Sub(a.lastStep)
 	if passed < stepPeriod {
 		return nil
 	}
-	a.stepped = now
+	a.lastStep = now
 	var near []Tag
 	silent := a.silentPart(now)
 	for tag, c := range a.customers {
@@ -147,26 +154,26 @@
 			continue
 		}
 		a.decay(c, now)
-		left := l.Rate - max(l.Rate*silent, a.silentRate(c, now))
-		c.over = max(0, c.over-left*passed.Seconds())
-		if a.judge(c, l) {
+		drain := l.Rate - max(l.Rate*silent, a.silentRate(c, now))
+		c.level = max(0, c.level-drain*passed.Seconds())
+		if a.updateNear(c, l) {
 			near = append(near, tag)
 		}
 	}
 	return near
 }
 
-// decay lets demand fade. What a silent VM was asked for last counts on for as long as its share stands:
-// it may be admitting it.
-func (a *Allocator) decay(c *allocated, now mono.Time) {
+// decay updates the averages of demand. The last demand of a silent VM counts in full for as long as the VM's
+// share is valid, since the VM may be admitting it.
+func (a *Allocator) decay(c *customerState, now mono.Time) {
 	for vm, d := range c.demand {
-		silent := now.Sub(a.heard[vm])
+		silent := now.Sub(a.reported[vm])
 		switch {
-		case silent > shareFor || d.rate < leastDemand:
+		case silent > shareLifetime || d.rate < minDemand:
 			delete(c.demand, vm)
 		case silent > silentAfter:
 			c.chargeSilence(d)
-			d.at = now
+			d.updated = now
 		default:
 			d.silent = false
 			d.decay(now)
@@ -174,57 +181,57 @@
 	}
 }
 
-// chargeSilence charges what a VM may have admitted before it was found to be silent.
-func (c *allocated) chargeSilence(d *demand) {
+// chargeSilence adds to the level what a VM may have admitted before it was found to be silent.
+func (c *customerState) chargeSilence(d *demand) {
 	if d.silent {
 		return
 	}
 	d.silent = true
-	c.over += max(d.rate, d.share) * silentAfter.Seconds()
+	c.level += max(d.rate, d.share) * silentAfter.Seconds()
 }
 
-// leastDemand in operations a second is as good as none.
-const leastDemand = 0.01
+// minDemand is the demand in operations per second below which a VM counts as having none.
+const minDemand = 0.01
 
-// silentPart is the part of a limit that is left to VMs that are silent or have not reported yet: each may be
-// admitting an equal one.
+// silentPart returns the fraction of a limit that is left to VMs that are silent or have not reported yet: each
+// may be admitting an equal part of the limit.
 func (a *Allocator) silentPart(now mono.Time) float64 {
 	if a.vms == 0 {
 		return 0
 	}
-	heard := 0
-	for _, at := range a.heard {
+	reported := 0
+	for _, at := range a.reported {
 		if now.Sub(at) <= silentAfter {
-			heard++
+			reported++
 		}
 	}
-	return float64(max(0, a.vms-heard)) / float64(a.vms)
+	return float64(max(0, a.vms-reported)) / float64(a.vms)
 }
 
-// silentRate is what VMs that are silent may be admitting, a second.
-func (a *Allocator) silentRate(c *allocated, now mono.Time) float64 {
+// silentRate returns how many operations per second the silent VMs may be admitting.
+func (a *Allocator) silentRate(c *customerState, now mono.Time) float64 {
 	rate := 0.0
 	for vm, d := range c.demand {
-		if now.Sub(a.heard[vm]) > silentAfter {
+		if now.Sub(a.reported[vm]) > silentAfter {
 			rate += max(d.rate, d.share)
 		}
 	}
 	return rate
 }
 
-// judge reports whether the customer has just come near its limit.
-func (a *Allocator) judge(c *allocated, l Limit) bool {
+// updateNear updates whether the customer is near its limit, and reports whether it has just come near it.
+func (a *Allocator) updateNear(c *customerState, l Limit) bool {
 	if !c.near {
-		c.near = c.over > nearFrom*l.Room
+		c.near = c.level > nearFrom*l.Room
 		return c.near
 	}
-	if c.over <= farBelow*l.Room && c.total() < farDemand*l.Rate {
+	if c.level <= farBelow*l.Room && c.totalDemand() < farDemand*l.Rate {
 		c.near = false
 	}
 	return false
 }
 
-func (c *allocated) total() float64 {
+func (c *customerState) totalDemand() float64 {
 	sum := 0.0
 	for _, d := range c.demand {
 		sum += d.rate
@@ -232,7 +239,7 @@
 	return sum
 }
 
-// Answer returns what a VM is told in answer to its report.
+// Answer returns the answer to a VM's report.
 func (a *Allocator) Answer(vm topology.VMID, usage []Usage, now mono.Time) *Answer {
 	answer := &Answer{}
 	for tag, c := range a.customers {
@@ -249,9 +256,10 @@
 	return answer
 }
 
-// share is the part of a limit that is the VM's, by what it is asked for. All shares that stand are no more than
-// is shared out: demand that moves from one VM to another gets its share as the other's ends.
-func (a *Allocator) share(vm topology.VMID, tag Tag, c *allocated, now mono.Time) Share {
+// share sets and returns the VM's share of a limit, in proportion to its demand. All valid shares together are
+// at most the shared rate: if demand moves from one VM to another, the second VM's share grows as the first
+// VM's share ends.
+func (a *Allocator) share(vm topology.VMID, tag Tag, c *customerState, now mono.Time) Share {
 	s := Share{Customer: tag}
 	d := c.demand[vm]
 	if d == nil {
@@ -260,22 +268,22 @@
 	total, others := 0.0, 0.0
 	for id, o := range c.demand {
 		total += o.rate
-		if id != vm && now.Before(o.until) {
+		if id != vm && now.Before(o.shareUntil) {
 			others += o.share
 		}
 	}
-	rate := c.sharedOut(a.limits[tag])
-	d.share = min((1-newcomers)*rate*d.rate/total, max(0, rate-others))
-	d.until = now.Add(shareFor)
+	rate := c.sharedRate(a.limits[tag])
+	d.share = min((1-newcomerPart)*rate*d.rate/total, max(0, rate-others))
+	d.shareUntil = now.Add(shareLifetime)
 	s.Rate = uint32(d.share * time.Minute.Seconds())
 	return s
 }
 
-// sharedOut is how much of a limit is shared out among the VMs, a second.
-func (c *allocated) sharedOut(l Limit) float64 {
+// sharedRate returns the rate in operations per second that is shared out among the VMs.
+func (c *customerState) sharedRate(l Limit) float64 {
 	if !c.near {
-		return quietPart * l.Rate
+		return farSharedPart * l.Rate
 	}
-	rate := l.Rate + correction*(steadyAt*l.Room-c.over)/l.Window.Seconds()
-	return min(max(rate, leastPart*l.Rate), mostPart*l.Rate)
+	rate := l.Rate + gain*(steadyLevel*l.Room-c.level)/l.Window.Seconds()
+	return min(max(rate, minSharedPart*l.Rate), maxSharedPart*l.Rate)
 }
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -1,12 +1,13 @@
-// Package quota keeps customers' limits, which bind all VMs together, without asking anyone before an
-// operation begins.
+// Package quota enforces customers' limits, which apply to all VMs together, without a call to another VM
+// before an operation begins.
 //
-// While a customer is well below its limit, each VM admits what comes, some operations beyond its share at
-// most, and reports how much that was; the VM that collects the reports, the allocator, notes it against the limit. As a customer nears its limit
-// the allocator says so to all VMs, and from then on each admits its share of the limit only, by what it
-// was asked for lately. A VM that hears nothing of the allocator keeps to its last share, for a while.
+// While a customer is well below its limit, each VM admits its operations, up to a few beyond the VM's share,
+// and reports how many it has admitted. The VM that collects the reports, the allocator, counts them against
+// the limit. When a customer comes near its limit the allocator informs all VMs. From then on each VM admits
+// only its share of the limit, which depends on the VM's recent demand. A VM that gets no answers from the
+// allocator keeps its last share for a while.
 //
-// The package does no I/O and reads no clock. Not safe for concurrent use.
+// The package does no I/O and reads no clock. Its types are not safe for concurrent use.
 package quota
 
 import (
@@ -18,37 +19,37 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Tag stands for a customer in messages.
+// Tag identifies a customer in messages: a hash of its ID.
 type Tag uint32
 
 // TagOf returns a customer's tag.
-func TagOf(id topology.CustomerID) Tag { return Tag(xxhash.Sum64String(string(id))) } //nolint:gosec // Cut on purpose.
+func TagOf(id topology.CustomerID) Tag { return Tag(xxhash.Sum64String(string(id))) } //nolint:gosec // Truncated on purpose.
 
-// Policy says how limits are counted: in any Window a customer may begin its rate times the window and its
-// burst, and at most the part Excess of that and Slack operations more.
+// Policy defines how limits are counted. In any Window a customer may begin its rate times the window plus its
+// burst, and at most the fraction Excess of that plus Slack operations more.
 type Policy struct {
 	Window time.Duration
 	Excess float64
 	Slack  float64
 }
 
-// Limit is a customer's limit as it is kept.
+// Limit is a customer's limit in the form that the meters and the allocator use.
 type Limit struct {
-	// Rate in operations a second that may be admitted for good: the burst of each window is part of it.
+	// Rate is the sustained rate in operations per second; the burst of each window is part of it.
 	Rate float64
 	// Room is how many operations beyond the rate may be admitted in a window.
 	Room float64
-	// Window over which it is counted.
+	// Window is the time over which the limit is counted.
 	Window time.Duration
 }
 
-// Of returns a declared limit as it is kept.
+// Of converts a declared limit.
 func (p Policy) Of(l customer.Limit) Limit {
 	allowed := l.Rate*p.Window.Seconds() + l.Burst
 	return Limit{Rate: allowed / p.Window.Seconds(), Room: p.Excess*allowed + p.Slack, Window: p.Window}
 }
 
-// Limits are the customers' limits in force, by tag. A customer that is absent has none.
+// Limits are the customers' limits in force, by tag. A customer that is absent has no limit.
 type Limits map[Tag]Limit
 
 // LimitsOf returns the limits of a configuration's customers.
@@ -62,44 +63,44 @@
 	return limits
 }
 
-// Usage is what a VM was asked for, and admitted, for one customer since its last report.
+// Usage is how many operations of one customer were offered to a VM, and how many it admitted, since its last
+// report.
 type Usage struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // Read by the encoder.
 
 	Customer Tag
 	Offered  uint32
 	Admitted uint32
-	// Near: the VM was told that the customer is near its limit.
+	// Near is set if the VM knows from the allocator that the customer is near its limit.
 	Near bool
 }
 
-// Share is the rate at which a VM may admit a customer's operations by itself.
+// Share is the rate at which a VM may admit a customer's operations.
 type Share struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // Read by the encoder.
 
 	Customer Tag
-	// Rate in operations a minute.
+	// Rate is in operations per minute.
 	Rate uint32
 }
 
-// Answer is what the allocator answers to a report.
+// Answer is the allocator's answer to a report.
 type Answer struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // Read by the encoder.
 
-	// Near are all customers that are near their limit: a VM admits its share of these only.
+	// Near are all customers that are near their limits; a VM admits no more than its share of their operations.
 	Near []Tag
-	// Shares of the customers that the report named, and of those that are near their limit.
+	// Shares are the VM's shares for the customers in its report and for those near their limits.
 	Shares []Share
 }
 
 const (
-	// shareFor is how long a VM keeps to a share when it hears nothing of the allocator, and how long
-	// the allocator counts a VM that it does not hear as using its share. A coordinator that
-	// fails is replaced sooner.
-	shareFor = 2 * time.Second
-	// freeFor is how long a VM that hears nothing of the allocator admits more than its share for a customer
-	// that was not near its limit: an answer may be late.
-	freeFor = 400 * time.Millisecond
-	// silentAfter is for how long the allocator must not have heard a VM to count it as silent.
+	// shareLifetime is how long a VM keeps a share if it gets no answers from the allocator, and how long
+	// the allocator counts a silent VM as using its share. A failed coordinator is replaced sooner.
+	shareLifetime = 2 * time.Second
+	// answerTimeout is for how long after its last answered report a VM admits operations beyond its share for
+	// customers that were not near their limits. It allows for a late answer.
+	answerTimeout = 400 * time.Millisecond
+	// silentAfter is the time without a report after which the allocator counts a VM as silent.
 	silentAfter = 600 * time.Millisecond
 )
--- a/pkg/quota/sim_test.go
+++ b/pkg/quota/sim_test.go
@@ -13,15 +13,15 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// The simulation's times, and the bounds that hold for a customer's operations in each window.
+// The times of the simulation, and the bounds on a customer's operations in any window.
 const (
-	step       = 10 * time.Millisecond
-	renewal    = 250 * time.Millisecond
-	takeover   = 1200 * time.Millisecond
-	window     = 5 * time.Second
-	excess     = 0.1
-	slack      = 20
-	simulation = 24 * time.Second
+	step           = 10 * time.Millisecond
+	reportInterval = 250 * time.Millisecond
+	takeover       = 1200 * time.Millisecond
+	window         = 5 * time.Second
+	excess         = 0.1
+	slack          = 20
+	simulation     = 24 * time.Second
 )
 
 var policy = quota.Policy{Window: window, Excess: excess, Slack: slack}
@@ -30,12 +30,12 @@
 type vm struct {
 	id    topology.VMID
 	meter *quota.Meter
-	next  mono.Time // when it renews
-	up    mono.Time // from when on it runs
-	cut   bool      // from the allocator
+	next  mono.Time // when it reports next
+	up    mono.Time // when it has started
+	cut   bool      // whether it is cut off from the allocator
 }
 
-// world plays one customer's demand over VMs that renew with an allocator.
+// world simulates one customer's demand on VMs that report to an allocator.
 type world struct {
 	random *rand.Rand
 	size   int
@@ -44,23 +44,23 @@
 	now    mono.Time
 	vms    []*vm
 	alloc  *quota.Allocator
-	// mistake changes what VMs are told; nil: nothing is changed.
-	mistake func(*quota.Answer)
-	// lost is until when no allocator is there.
-	lost mono.Time
-	// rate of operations a second, and over how many of the VMs.
-	rate    float64
-	askedAt int
+	// bug, if not nil, is an injected fault that changes the answers to VMs.
+	bug func(*quota.Answer)
+	// lostUntil is until when there is no allocator.
+	lostUntil mono.Time
+	// rate is the demand in operations per second, and demandVMs the number of VMs that get it.
+	rate      float64
+	demandVMs int
 
 	admitted []mono.Time
 	refused  int
 	offered  int
 }
 
-func newWorld(size int, seed uint64, limit customer.Limit, rate float64, askedAt int) *world {
+func newWorld(size int, seed uint64, limit customer.Limit, rate float64, demandVMs int) *world {
 	w := &world{
 		random: rand.New(rand.NewPCG(seed, seed)), limit: limit, size: size, tag: quota.TagOf("c"), //nolint:gosec // A simulation.
-		now: mono.Time(time.Second), alloc: quota.NewAllocator(), rate: rate, askedAt: askedAt,
+		now: mono.Time(time.Second), alloc: quota.NewAllocator(), rate: rate, demandVMs: demandVMs,
 	}
 	for i := range size {
 		w.vms = append(w.vms, &vm{id: topology.VMID(fmt.Sprint(i))})
@@ -73,19 +73,19 @@
 	v.meter = quota.NewMeter()
 	v.meter.SetVMs(w.size)
 	v.up = w.now.Add(down)
-	v.next = v.up.Add(time.Duration(w.random.Int64N(int64(renewal))))
+	v.next = v.up.Add(time.Duration(w.random.Int64N(int64(reportInterval))))
 }
 
-// run plays until an instant; poisson arrivals at random ones of the VMs that are asked.
+// run simulates a time span, with Poisson arrivals at random VMs among those with demand.
 func (w *world) run(d time.Duration) {
 	for end := w.now.Add(d); w.now < end; w.now += mono.Time(step) {
 		for n := w.poisson(w.rate * step.Seconds()); n > 0; n-- {
-			w.offer(w.vms[w.random.IntN(w.askedAt)])
+			w.offer(w.vms[w.random.IntN(w.demandVMs)])
 		}
 		for _, v := range w.vms {
 			if w.now >= v.next && w.now >= v.up {
-				v.next = w.now.Add(renewal)
-				w.renew(v)
+				v.next = w.now.Add(reportInterval)
+				w.report(v)
 			}
 		}
 	}
@@ -106,19 +106,19 @@
 	}
 }
 
-func (w *world) renew(v *vm) {
+func (w *world) report(v *vm) {
 	usage := v.meter.Report()
-	if v.cut || w.now < w.lost {
+	if v.cut || w.now < w.lostUntil {
 		return
 	}
 	w.alloc.SetVMs(w.size)
 	near := w.alloc.Note(v.id, usage, quota.Limits{w.tag: policy.Of(w.limit)}, w.now)
 	answer := w.alloc.Answer(v.id, usage, w.now)
-	if w.mistake != nil {
-		w.mistake(answer)
+	if w.bug != nil {
+		w.bug(answer)
 	}
 	v.meter.Take(answer, w.now)
-	if len(near) == 0 || w.mistake != nil {
+	if len(near) == 0 || w.bug != nil {
 		return
 	}
 	for _, other := range w.vms {
@@ -128,10 +128,10 @@
 	}
 }
 
-// loseAllocator has another VM collect after a while.
+// loseAllocator replaces the allocator after the takeover time.
 func (w *world) loseAllocator() {
 	w.alloc = quota.NewAllocator()
-	w.lost = w.now.Add(takeover)
+	w.lostUntil = w.now.Add(takeover)
 }
 
 func (w *world) poisson(mean float64) int {
@@ -143,16 +143,16 @@
 	return n
 }
 
-// most is the greatest number of operations admitted in any window.
-func (w *world) most() int {
-	most, from := 0, 0
+// peak returns the greatest number of operations admitted in any window.
+func (w *world) peak() int {
+	peak, from := 0, 0
 	for i, at := range w.admitted {
 		for at.Sub(w.admitted[from]) >= window {
 			from++
 		}
-		most = max(most, i-from+1)
+		peak = max(peak, i-from+1)
 	}
-	return most
+	return peak
 }
 
 func (w *world) allowed() float64 {
@@ -161,29 +161,29 @@
 
 var limits = []customer.Limit{{Rate: 163, Burst: 163}, {Rate: 39, Burst: 39}, {Rate: 5, Burst: 5}}
 
-// The sizes of deployments that are played.
+// The numbers of VMs that are simulated.
 const (
 	fewVMs  = 7
 	manyVMs = 81
 )
 
-// usual and flood are parts of the limit that are asked for a second.
+// usual and flood are demands as fractions of the limit's rate.
 const (
 	usual = 1 / 1.6
 	flood = 7.5 * usual
 )
 
-// floods are how many times the usual is asked for.
+// floods are demands as multiples of the usual one.
 var floods = []float64{4, 7.5, 20}
 
-// askedOf is how many VMs have sessions of a customer.
-func askedOf(size int, l customer.Limit) int { return min(size, 10+int(l.Rate)) }
+// demandVMsOf returns how many VMs have sessions of a customer.
+func demandVMsOf(size int, l customer.Limit) int { return min(size, 10+int(l.Rate)) }
 
 // Guards against refusals of a customer that stays below its limit.
-func TestTheUsualLoadIsAdmitted(t *testing.T) {
+func TestUsualLoadIsAdmitted(t *testing.T) {
 	for _, l := range limits {
 		for seed := range uint64(8) {
-			w := newWorld(manyVMs, seed, l, usual*l.Rate, askedOf(manyVMs, l))
+			w := newWorld(manyVMs, seed, l, usual*l.Rate, demandVMsOf(manyVMs, l))
 			w.run(simulation)
 			if part := float64(w.refused) / float64(w.offered); part > 0.01 {
 				t.Errorf("limit %v, seed %d: %.3f of %d refused", l.Rate, seed, part, w.offered)
@@ -192,7 +192,7 @@
 	}
 }
 
-// Guards against a flood of one customer that passes its limit, whatever fails meanwhile.
+// Guards against a flood of one customer that exceeds its limit, also during failures.
 func TestNoWindowExceedsTheLimit(t *testing.T) {
 	for _, size := range []int{fewVMs, manyVMs} {
 		for name, fault := range faults {
@@ -204,7 +204,7 @@
 	}
 }
 
-// faults that may come in the middle of a flood.
+// faults are failures in the middle of a flood.
 var faults = map[string]func(w *world){
 	"nothing": func(*world) {},
 	"the allocator is lost": func(w *world) {
@@ -223,7 +223,7 @@
 	},
 	"all VMs start again": func(w *world) {
 		w.loseAllocator()
-		w.lost = w.now.Add(time.Second + takeover/4)
+		w.lostUntil = w.now.Add(time.Second + takeover/4)
 		for _, v := range w.vms {
 			w.restart(v, time.Second)
 		}
@@ -235,7 +235,7 @@
 	for i := range 3 * len(limits) {
 		l, times := limits[i%len(limits)], floods[i/len(limits)]
 		for seed := range uint64(8) {
-			w := newWorld(size, seed, l, usual*l.Rate, askedOf(size, l))
+			w := newWorld(size, seed, l, usual*l.Rate, demandVMsOf(size, l))
 			w.run(3 * time.Second)
 			w.rate = times * usual * l.Rate
 			before := time.Duration(w.random.Int64N(int64(4 * time.Second)))
@@ -244,17 +244,17 @@
 			w.run(6 * time.Second)
 			w.rate = usual * l.Rate
 			w.run(4 * time.Second)
-			if got := w.most(); float64(got) > w.allowed() {
-				t.Errorf("limit %v, flood %v, seed %d, %v into it: %d in a window, %.0f are allowed", l.Rate, times, seed, before.Round(step), got, w.allowed())
+			if got := w.peak(); float64(got) > w.allowed() {
+				t.Errorf("limit %v, flood %v, seed %d, fault after %v: %d operations in a window, %.0f are allowed", l.Rate, times, seed, before.Round(step), got, w.allowed())
 			}
 		}
 	}
 }
 
-// Guards against a limit that is kept by refusing far more than has to be.
-func TestAFloodGetsItsLimit(t *testing.T) {
+// Guards against a limit that is enforced by refusing far more operations than necessary.
+func TestFloodIsAdmittedUpToLimit(t *testing.T) {
 	for _, l := range limits {
-		w := newWorld(manyVMs, 1, l, flood*l.Rate, askedOf(manyVMs, l))
+		w := newWorld(manyVMs, 1, l, flood*l.Rate, demandVMsOf(manyVMs, l))
 		w.run(simulation)
 		got := float64(len(w.admitted)) / simulation.Seconds()
 		if limit := l.Rate + l.Burst/window.Seconds(); got < 0.85*limit {
@@ -263,12 +263,12 @@
 	}
 }
 
-// Guards against refusals of a customer below its limit while no allocator is heard.
-func TestTheUsualLoadIsAdmittedWhileTheAllocatorChanges(t *testing.T) {
+// Guards against refusals of a customer below its limit while there is no allocator.
+func TestUsualLoadIsAdmittedDuringAllocatorChange(t *testing.T) {
 	for _, l := range limits {
 		offered, refused := 0, 0
 		for seed := range uint64(20) {
-			w := newWorld(manyVMs, seed, l, usual*l.Rate, askedOf(manyVMs, l))
+			w := newWorld(manyVMs, seed, l, usual*l.Rate, demandVMsOf(manyVMs, l))
 			w.run(6 * time.Second)
 			w.offered, w.refused = 0, 0
 			w.loseAllocator()
@@ -281,24 +281,24 @@
 	}
 }
 
-// The simulation is worth something only if it finds what is wrong: each of these breaks one rule of the answers.
-func TestPlantedMistakesAreFound(t *testing.T) {
-	for name, mistake := range map[string]func(*quota.Answer){
+// The simulation must detect injected bugs, each of which breaks one rule of the allocator's answers.
+func TestInjectedBugsAreDetected(t *testing.T) {
+	for name, bug := range map[string]func(*quota.Answer){
 		"customers near their limits are not named": func(a *quota.Answer) { a.Near = nil },
 		"shares add up to three times the limit": func(a *quota.Answer) {
 			for i := range a.Shares {
 				a.Shares[i].Rate *= 3
 			}
 		},
-		"no share is told": func(a *quota.Answer) { a.Shares, a.Near = nil, nil },
+		"no shares are sent": func(a *quota.Answer) { a.Shares, a.Near = nil, nil },
 	} {
-		w := newWorld(manyVMs, 1, limits[0], usual*limits[0].Rate, askedOf(manyVMs, limits[0]))
-		w.mistake = mistake
+		w := newWorld(manyVMs, 1, limits[0], usual*limits[0].Rate, demandVMsOf(manyVMs, limits[0]))
+		w.bug = bug
 		w.run(3 * time.Second)
 		w.rate = flood * limits[0].Rate
 		w.run(8 * time.Second)
-		if got := w.most(); float64(got) <= w.allowed() {
-			t.Errorf("%s: %d in a window, %.0f are allowed, and nothing is found", name, got, w.allowed())
+		if got := w.peak(); float64(got) <= w.allowed() {
+			t.Errorf("%s: not detected: %d operations in a window, %.0f are allowed", name, got, w.allowed())
 		}
 	}
 }
