--- a/pkg/customer/customer_test.go
+++ b/pkg/customer/customer_test.go
@@ -9,7 +9,7 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-func register(t *testing.T, customers ...customer.Customer) *customer.Register {
+func newRegister(t *testing.T, customers ...customer.Customer) *customer.Register {
 	t.Helper()
 	r, err := customer.NewRegister(customers)
 	if err != nil {
@@ -18,8 +18,8 @@
 	return r
 }
 
-func TestAKeyNamesItsHolder(t *testing.T) {
-	r := register(t,
+func TestKeyIdentifiesItsHolder(t *testing.T) {
+	r := newRegister(t,
 		customer.Customer{ID: "a", Keys: []customer.Key{customer.KeyOf("a1"), customer.KeyOf("a2")}},
 		customer.Customer{ID: "b", Keys: []customer.Key{customer.KeyOf("b1")}},
 		customer.Customer{ID: "without keys"},
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestBadCustomersAreRefused(t *testing.T) {
+func TestInvalidCustomersAreRefused(t *testing.T) {
 	key := []customer.Key{customer.KeyOf("k")}
 	for name, customers := range map[string][]customer.Customer{
 		"no name":         {{ID: "", Keys: key}},
@@ -48,8 +48,8 @@
 	}
 }
 
-// Guards against keys in logs: neither a key nor what stands for it is printed.
-func TestAKeyIsNotPrinted(t *testing.T) {
+// Guards against keys in logs: neither a plain key nor its hash may be printed.
+func TestKeyIsNotPrinted(t *testing.T) {
 	k := customer.KeyOf("hunter2")
 	for _, format := range []string{"%v", "%s", "%+v"} {
 		if got := fmt.Sprintf(format, k); strings.Contains(got, "hunter2") || got != "key" {
--- a/pkg/customer/key.go
+++ b/pkg/customer/key.go
@@ -6,21 +6,21 @@
 	"crypto/sha256"
 )
 
-// Key stands for a customer's key without telling it: a process keeps, compares and passes on
-// nothing else. The zero value is no key.
+// Key is a keyed hash of a customer's plain key. A process keeps, compares and passes on only the
+// hash. The zero value means no key.
 type Key [sha256.Size]byte
 
-// secret is drawn at each start, so that a Key that leaks can't be looked up in a table, and the
-// time of a comparison tells nothing of the key.
+// secret is generated at each start, so that a leaked Key can't be looked up in a precomputed table,
+// and the time of a comparison reveals nothing about the plain key.
 var secret = newSecret()
 
 func newSecret() []byte {
 	s := make([]byte, sha256.Size)
-	_, _ = rand.Read(s) // It never fails.
+	_, _ = rand.Read(s) // rand.Read never fails.
 	return s
 }
 
-// KeyOf returns what stands for a key in this process.
+// KeyOf returns the Key for a plain key. It differs from process to process.
 func KeyOf(plain string) Key {
 	if plain == "" {
 		return Key{}
--- a/pkg/customer/register.go
+++ b/pkg/customer/register.go
@@ -1,4 +1,4 @@
-// Package customer tells callers apart: who holds a key, and what each customer may ask for.
+// Package customer identifies customers by their keys and holds their limits.
 //
 // It does no I/O and reads no clock.
 package customer
@@ -13,30 +13,30 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Customer is what operators declare of a customer.
+// Customer is a customer as declared in the configuration.
 type Customer struct {
 	ID topology.CustomerID
-	// Keys that identify its sessions. One without keys opens no session.
+	// Keys identify the customer's sessions. A customer without keys can't open sessions.
 	Keys  []Key
 	Limit Limit
 }
 
-// Limit is how many operations a customer may begin at all VMs together.
+// Limit is how many operations a customer may begin on all VMs together.
 type Limit struct {
-	// Rate in operations a second; 0: no limit.
+	// Rate is in operations per second; 0 means no limit.
 	Rate float64
-	// Burst is how many may come at once.
+	// Burst is how many operations may come at once.
 	Burst float64
 }
 
-// Register holds the customers of one configuration. It is not changed after it was made.
+// Register holds the customers of one configuration. It is immutable.
 type Register struct {
 	byKey map[Key]topology.CustomerID
 	byID  map[topology.CustomerID]Customer
 }
 
-// NewRegister checks the customers, and refuses all of them if one is wrong: a key that two hold would
-// identify neither.
+// NewRegister returns a register of the customers, or an error if any of them is invalid. A key of two customers
+// is invalid since it would identify neither.
 func NewRegister(customers []Customer) (*Register, error) {
 	r := &Register{byKey: map[Key]topology.CustomerID{}, byID: make(map[topology.CustomerID]Customer, len(customers))}
 	for i := range customers {
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// Holder returns the customer that holds a key.
+// Holder returns the customer that holds a key, and false if none does.
 func (r *Register) Holder(k Key) (topology.CustomerID, bool) {
 	if r == nil || k == (Key{}) {
 		return "", false
@@ -88,7 +88,7 @@
 	return c.Limit, ok
 }
 
-// Len counts the customers.
+// Len returns the number of customers.
 func (r *Register) Len() int {
 	if r == nil {
 		return 0
@@ -96,22 +96,22 @@
 	return len(r.byID)
 }
 
-// Largest lists the n customers with the greatest limits, the greatest first; one without a limit is greater
-// than any with one.
+// Largest returns the n customers with the greatest limits in descending order. A customer without a limit
+// counts as greater than any with one.
 func (r *Register) Largest(n int) []topology.CustomerID {
 	ids := r.IDs()
-	slices.SortStableFunc(ids, func(a, b topology.CustomerID) int { return cmp.Compare(r.size(b), r.size(a)) })
+	slices.SortStableFunc(ids, func(a, b topology.CustomerID) int { return cmp.Compare(r.effectiveRate(b), r.effectiveRate(a)) })
 	return ids[:min(n, len(ids))]
 }
 
-func (r *Register) size(id topology.CustomerID) float64 {
+func (r *Register) effectiveRate(id topology.CustomerID) float64 {
 	if rate := r.byID[id].Limit.Rate; rate > 0 {
 		return rate
 	}
 	return math.Inf(1)
 }
 
-// IDs lists the customers in order of their names.
+// IDs returns the IDs of the customers in ascending order.
 func (r *Register) IDs() []topology.CustomerID {
 	if r == nil {
 		return nil
--- a/pkg/mono/mono.go
+++ b/pkg/mono/mono.go
@@ -1,5 +1,5 @@
-// Package mono gives monotonic instants that the decision logic takes as
-// arguments, so that no part of it reads a clock of its own.
+// Package mono provides monotonic times. The decision logic takes them as
+// arguments and reads no clock itself.
 package mono
 
 import (
@@ -33,7 +33,7 @@
 type System struct{}
 
 // Now reads CLOCK_BOOTTIME. CLOCK_MONOTONIC stands still while a VM is
-// suspended: a lease holder that was suspended past its lease would wake up and
+// suspended: a lease holder that was suspended past its lease would resume and
 // still see it as valid. CLOCK_BOOTTIME counts the suspension.
 func (System) Now() Time {
 	var ts unix.Timespec
--- a/pkg/position/position.go
+++ b/pkg/position/position.go
@@ -1,4 +1,4 @@
-// Package position orders what a database group has committed.
+// Package position defines positions in the log of a database group, and their order.
 package position
 
 import (
@@ -46,16 +46,16 @@
 	return p
 }
 
-// String writes the position as term/index.
+// String returns the position as term/index.
 func (p Position) String() string {
 	return strconv.FormatUint(p.Term, 10) + "/" + strconv.FormatUint(p.Index, 10)
 }
 
-// Parse reads what String writes.
+// Parse parses a position in the form that String returns.
 func Parse(s string) (Position, error) {
 	term, index, ok := strings.Cut(s, "/")
 	if !ok {
-		return Position{}, errors.Newf("position %q is not term/index", s)
+		return Position{}, errors.Newf("position %q does not have the form term/index", s)
 	}
 	t, err := strconv.ParseUint(term, 10, 64)
 	if err != nil {
