--- a/pkg/metastore/memory.go
+++ b/pkg/metastore/memory.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// Memory is the twin of a store, for tests.
+// Memory is an in-memory Store for tests.
 type Memory struct {
 	mu      sync.Mutex
 	version uint64
 	tables  map[string]map[string]Row
 	changed chan struct{}
-	// oldest is the first version whose changes are kept.
+	// oldest is the oldest version whose changes are kept.
 	oldest uint64
 	began  time.Time
 }
 
-// NewMemory makes an empty store.
+// NewMemory returns an empty store.
 func NewMemory() *Memory {
 	return &Memory{tables: map[string]map[string]Row{}, changed: make(chan struct{}), began: time.Now()}
 }
 
-// ForgetHistory drops the changes so far: watches from before end.
+// ForgetHistory drops the changes so far. A watch that starts before them then fails with ErrHistoryGone.
 func (m *Memory) ForgetHistory() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.oldest = m.version + 1
-	m.wake()
+	m.notify()
 }
 
-func (m *Memory) wake() {
+func (m *Memory) notify() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
@@ -41,11 +41,11 @@
 func (m *Memory) List(_ context.Context, table string, keys Range) (Rows, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	rows := slices.DeleteFunc(m.since(table, 0, false), func(r Row) bool { return !keys.Contains(r.Key) })
+	rows := slices.DeleteFunc(m.rowsAfter(table, 0, false), func(r Row) bool { return !keys.Contains(r.Key) })
 	return Rows{Rows: rows, Version: m.version, Clock: time.Since(m.began)}, nil
 }
 
-func (m *Memory) since(table string, after uint64, deleted bool) []Row {
+func (m *Memory) rowsAfter(table string, after uint64, deleted bool) []Row {
 	var rows []Row
 	for _, r := range m.tables[table] {
 		if r.Version > after && (deleted || !r.Deleted) {
@@ -66,7 +66,7 @@
 		if after+1 < m.oldest {
 			err = ErrHistoryGone
 		}
-		rows := Rows{Rows: m.since(table, after, true), Version: m.version}
+		rows := Rows{Rows: m.rowsAfter(table, after, true), Version: m.version}
 		changed := m.changed
 		m.mu.Unlock()
 		if err != nil || len(rows.Rows) > 0 {
@@ -114,6 +114,6 @@
 		m.tables[table] = map[string]Row{}
 	}
 	m.tables[table][row.Key] = row
-	m.wake()
+	m.notify()
 	return row.Version, nil
 }
--- a/pkg/metastore/memory_test.go
+++ b/pkg/metastore/memory_test.go
@@ -10,7 +10,7 @@
 	"github.com/buckthornshore/buckthornshore/pkg/metastore"
 )
 
-func TestMemoryChangesUnderAConditionOnly(t *testing.T) {
+func TestMemoryWritesAreConditional(t *testing.T) {
 	ctx := context.Background()
 	m := metastore.NewMemory()
 	version, err := m.Put(ctx, "t", "k", []byte("1"), 0)
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	if _, err := m.Put(ctx, "t", "k", []byte("2"), 0); !errors.Is(err, metastore.ErrConflict) {
-		t.Fatalf("written over: %v", err)
+		t.Fatalf("row was overwritten: %v", err)
 	}
 	if err := m.Delete(ctx, "t", "k", version, ""); err != nil {
 		t.Fatal(err)
@@ -32,9 +32,9 @@
 	}
 }
 
-// The store drops its history while a watcher is behind: it must list the table anew, or
-// it would miss what changed.
-func TestMemoryWithoutHistory(t *testing.T) {
+// The store drops its history while a watcher is behind. The watch must fail, so that the watcher
+// lists the table again, or the watcher would miss changes.
+func TestWatchFailsAfterHistoryIsDropped(t *testing.T) {
 	ctx := context.Background()
 	m := metastore.NewMemory()
 	for i := range 3 {
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestListOfARange(t *testing.T) {
+func TestListRange(t *testing.T) {
 	ctx := context.Background()
 	m := metastore.NewMemory()
 	for _, key := range []string{"duty", "group/1", "group/2", "groups", "vm/1", "vm/11"} {
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestDeleteWritesItsMarker(t *testing.T) {
+func TestDeleteWritesMarker(t *testing.T) {
 	ctx := context.Background()
 	m := metastore.NewMemory()
 	version, err := m.Put(ctx, "t", "k", nil, 0)
@@ -94,7 +94,7 @@
 		t.Fatal(err)
 	}
 	if rows, _ := m.List(ctx, "t", metastore.Key("marker")); len(rows.Rows) != 0 {
-		t.Fatalf("marked without a removal: %+v", rows)
+		t.Fatalf("marker written without a removal: %+v", rows)
 	}
 	if err := m.Delete(ctx, "t", "k", version, "marker"); err != nil {
 		t.Fatal(err)
--- a/pkg/metastore/metastore.go
+++ b/pkg/metastore/metastore.go
@@ -1,6 +1,6 @@
-// Package metastore is the interface to the store in which everything lives that
-// must outlast a process: small tables of rows with versions, changed under a
-// condition and watched for changes.
+// Package metastore defines the interface of the metadata store, which holds all state
+// that must outlast a process: small tables of versioned rows, with conditional writes
+// and watches.
 package metastore
 
 import (
@@ -10,17 +10,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The failures that a caller treats differently. Any other error means that the
-// outcome is not known.
+// The errors that callers handle separately. After any other error the outcome of the
+// call is unknown.
 var (
-	// ErrConflict: the row was not at the expected version; nothing was done.
+	// ErrConflict is returned if the row was not at the expected version; nothing was changed.
 	ErrConflict = errors.New("metastore: the row has changed")
-	// ErrNotDone: the store refused before it did anything.
+	// ErrNotDone is returned if the store refused the call before it changed anything.
 	ErrNotDone = errors.New("metastore: refused, nothing was done")
-	// ErrHistoryGone: the changes asked for are no longer kept; list anew.
+	// ErrHistoryGone is returned if the requested changes are no longer kept. The caller
+	// must list the table again.
 	ErrHistoryGone = errors.New("metastore: history is gone")
-	// ErrHistoryTooLarge: there are more changes than a watch reads, of which most are
-	// overtaken; list anew.
+	// ErrHistoryTooLarge is returned if there are more changes than a watch reads. Most of
+	// them are superseded, so the caller must list the table again.
 	ErrHistoryTooLarge = errors.New("metastore: history is too large")
 )
 
@@ -28,28 +29,28 @@
 type Row struct {
 	Key   string `msgpack:"k"`
 	Value []byte `msgpack:"v"`
-	// Version of the transaction that wrote the row; 0: there is no such row.
+	// Version is that of the transaction that wrote the row; 0 means that there is no such row.
 	Version uint64 `msgpack:"n"`
-	// Deleted rows come in changes only.
+	// Deleted is set for a deleted row; only Watch returns such rows.
 	Deleted bool `msgpack:"d,omitempty"`
 }
 
-// Rows are the rows of a table, or those that changed, as of a version.
+// Rows are rows of a table, or its changed rows, as of a version.
 type Rows struct {
 	Rows []Row
-	// Version is the store's newest when it answered.
+	// Version is the store's newest version when it answered.
 	Version uint64
-	// Clock is the store's own steady clock when it answered. It never goes back.
+	// Clock is the reading of the store's monotonic clock when it answered.
 	Clock time.Duration
 }
 
-// Range is the keys of a table from From up to To, without To itself. An empty To has no end.
+// Range is the range of keys from From up to but excluding To. An empty To means no upper bound.
 type Range struct{ From, To string }
 
 // All is the range of all keys.
 var All = Range{}
 
-// Prefix returns the range of the keys that begin with a text of ASCII characters, which is not empty.
+// Prefix returns the range of the keys that begin with prefix, which must be non-empty ASCII.
 func Prefix(prefix string) Range {
 	last := len(prefix) - 1
 	return Range{From: prefix, To: prefix[:last] + string(prefix[last]+1)}
@@ -68,15 +69,15 @@
 type Store interface {
 	// List returns the rows of a table whose keys are in the range, as of one moment.
 	List(ctx context.Context, table string, keys Range) (Rows, error)
-	// Watch returns the rows of a table that changed after the version, as soon
-	// as there is one, or none after the wait. A store may return each version
+	// Watch returns the rows of a table that changed after the version, as soon as
+	// there are any, or none if wait has passed. A store may return every version
 	// that a row has had.
 	Watch(ctx context.Context, table string, after uint64, wait time.Duration) (Rows, error)
 	// Put writes a row if its version is the expected one (0: if there is none)
 	// and returns its new version. After an unknown outcome the same call may be
-	// repeated: its condition lets it take effect once.
+	// repeated: its condition ensures that it takes effect at most once.
 	Put(ctx context.Context, table, key string, value []byte, expected uint64) (uint64, error)
-	// Delete removes a row if its version is the expected one. In the same change it writes the key to
-	// the row named marker, unless that is empty: the version of that row shows each such removal.
+	// Delete removes a row if its version is the expected one. In the same transaction it writes the key
+	// to the row named marker, unless marker is empty: the version of that row changes with each removal.
 	Delete(ctx context.Context, table, key string, expected uint64, marker string) error
 }
--- a/pkg/statement/context.go
+++ b/pkg/statement/context.go
@@ -6,31 +6,31 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// Bounds of what one session may keep. They are far above what sessions use and
-// keep a faulty caller from filling the memory.
+// Bounds on the state of one session. They are far above normal use and prevent a faulty
+// caller from exhausting the memory.
 const (
 	MaxValues   = 64
 	MaxPrepared = 256
 )
 
-// Prepared is a statement that a session prepared.
+// Prepared is a statement that a session has prepared.
 type Prepared struct {
 	Shape  string
 	Writes bool
 }
 
-// Context is what a session has set up: its values and prepared statements. They
-// are kept here and not at a target, since connections are shared by sessions.
-// The zero value is ready.
+// Context is the state that a session has set up: its values and prepared statements. They
+// are kept here and not at a target, since sessions share connections.
+// The zero value is ready to use.
 type Context struct {
 	values   map[string]string
 	prepared map[string]Prepared
 }
 
-// Values returns the session's values; they must not be changed.
+// Values returns the session's values. The map must not be modified.
 func (c *Context) Values() map[string]string { return c.values }
 
-// Apply carries out Set, Prepare and Deallocate.
+// Apply executes a Set, Prepare or Deallocate statement.
 func (c *Context) Apply(s *Statement) *result.Error {
 	switch s.Kind {
 	case Set:
@@ -39,7 +39,7 @@
 		return c.prepare(s.Name, Prepared{Shape: s.Shape, Writes: s.Writes})
 	case Deallocate:
 		if _, ok := c.prepared[s.Name]; !ok {
-			return unknown(s.Name)
+			return unknownStatement(s.Name)
 		}
 		delete(c.prepared, s.Name)
 		return nil
@@ -51,12 +51,12 @@
 	if _, ok := c.values[name]; !ok && len(c.values) >= MaxValues {
 		return result.New(result.BadOption, "more than %d values", MaxValues)
 	}
-	next := maps.Clone(c.values) // Statements under way still read the former one.
-	if next == nil {
-		next = map[string]string{}
+	updated := maps.Clone(c.values) // Running statements may still read the old map.
+	if updated == nil {
+		updated = map[string]string{}
 	}
-	next[name] = value
-	c.values = next
+	updated[name] = value
+	c.values = updated
 	return nil
 }
 
@@ -75,11 +75,11 @@
 func (c *Context) Prepared(name string) (Prepared, *result.Error) {
 	p, ok := c.prepared[name]
 	if !ok {
-		return p, unknown(name)
+		return p, unknownStatement(name)
 	}
 	return p, nil
 }
 
-func unknown(name string) *result.Error {
+func unknownStatement(name string) *result.Error {
 	return result.New(result.UnknownStatement, "%q", name)
 }
--- a/pkg/statement/statement.go
+++ b/pkg/statement/statement.go
@@ -1,5 +1,5 @@
-// Package statement holds the typed statements and answers that pass between
-// callers and targets. A codec at either edge turns a wire protocol into them.
+// Package statement defines the typed statements and answers that are exchanged between
+// callers and targets. Codecs on both sides convert wire protocols to and from them.
 package statement
 
 import (
@@ -27,28 +27,28 @@
 
 var kindNames = [...]string{"invalid", "begin", "begin_read_only", "commit", "rollback", "read", "write", "set", "prepare", "execute", "deallocate"}
 
-// String names the kind for logs.
+// String returns the name of the kind, for logs.
 func (k Kind) String() string { return kindNames[k] }
 
 // Statement is one request of a caller.
 type Statement struct {
-	// ID is the caller's own and reaches the target unchanged.
+	// ID is set by the caller and reaches the target unchanged.
 	ID string
 	// Text is the statement as the caller wrote it.
 	Text string
 	Kind Kind
-	// Name is the session value's or the prepared statement's.
+	// Name is the name of the session value or of the prepared statement.
 	Name string
-	// Value is what Set gives to the session value.
+	// Value is the new session value of a Set statement.
 	Value string
-	// Shape is what Prepare prepares; Writes tells whether it changes data.
+	// Shape is the statement that Prepare prepares; Writes is set if it changes data.
 	Shape  string
 	Writes bool
-	// Arguments follow the name of Execute, unchanged.
+	// Arguments is the text after the name in an Execute statement, unchanged.
 	Arguments string
 }
 
-// OwnID marks statements that the system issues itself.
+// OwnID is the ID of statements that the proxy issues itself.
 const OwnID = "-"
 
 // State is a session's state after an answer.
@@ -56,18 +56,18 @@
 
 // The states of a session.
 const (
-	// Idle: no transaction is open.
+	// Idle means that no transaction is open.
 	Idle State = 'I'
-	// Open: a transaction is open.
+	// Open means that a transaction is open.
 	Open State = 'T'
-	// Failed: the transaction failed and can only be ended.
+	// Failed means that the transaction has failed and can only be ended.
 	Failed State = 'E'
 )
 
-// Answer is the whole answer to one statement.
+// Answer is the complete answer to one statement.
 type Answer struct {
 	Rows []string
-	// Digest is the target's proof over the rows; empty if nothing ran there.
+	// Digest is the digest of the rows that the target computed, or empty if nothing ran there.
 	Digest string
 	// Failure is nil when the statement succeeded.
 	Failure *result.Error
@@ -76,8 +76,8 @@
 	Position position.Position
 }
 
-// Done is the answer to a statement that the system carries out itself.
+// Done returns the answer to a statement that the proxy executes itself.
 func Done(s State) Answer { return Answer{State: s} }
 
-// Fail is the answer to a statement that failed.
+// Fail returns the answer to a statement that failed.
 func Fail(e *result.Error, s State) Answer { return Answer{Failure: e, State: s} }
--- a/pkg/topology/topology.go
+++ b/pkg/topology/topology.go
@@ -1,10 +1,10 @@
-// Package topology holds the plain records that say which VMs, data centres,
-// groups and targets there are, and who may promote in a group.
+// Package topology defines the records that describe the VMs, data centres, groups
+// and targets, and which VMs may promote a replica of a group.
 package topology
 
 import "github.com/buckthornshore/buckthornshore/pkg/position"
 
-// VMID names a VM of the system.
+// VMID names a VM that runs a daemon.
 type VMID string
 
 // DataCentre names a data centre.
@@ -19,11 +19,11 @@
 // CustomerID names a customer, whose sessions share its limits.
 type CustomerID string
 
-// Incarnation numbers the starts of one VM's daemon. A daemon that starts again
-// has lost its memory, and so its promises, and takes a new one.
+// Incarnation numbers the starts of one VM's daemon. A daemon that restarts has lost
+// its state, including its promises, and gets a new incarnation.
 type Incarnation uint64
 
-// VM is one daemon as the platform's list and its own settings tell.
+// VM describes the daemon on one VM, from the platform's list and the daemon's settings.
 type VM struct {
 	ID          VMID        `json:"id"`
 	DataCentre  DataCentre  `json:"data_centre"`
@@ -31,7 +31,7 @@
 	PeerAddress string      `json:"peer_address"`
 	Incarnation Incarnation `json:"incarnation"`
 	Leaving     bool        `json:"leaving"`
-	// Cores is how much processor time it has, in cores; 0: not told.
+	// Cores is the processor time that the VM has, in cores; 0 means unknown.
 	Cores float64 `json:"cores,omitempty"`
 }
 
@@ -44,39 +44,39 @@
 	Leaving    bool       `json:"leaving"`
 }
 
-// Promoter is one entry of a group's list: a daemon that promises the pooler of
-// the primary not to promote its replica, and that alone may do so.
+// Promoter is one entry of a group's list of promoters: a daemon that promises the
+// pooler of the primary not to promote its replica, and the only one that may promote it.
 type Promoter struct {
 	VM          VMID        `json:"vm"`
 	Incarnation Incarnation `json:"incarnation"`
 	Replica     TargetID    `json:"replica"`
-	// Synced: classes whose acknowledgement waits for a replica wait for this
-	// one too, so it holds every such write and may be promoted.
+	// Synced is set if classes whose acknowledgement waits for a replica also wait for
+	// this replica, so that it holds every such write and may be promoted.
 	Synced bool `json:"synced"`
 }
 
 // Group is the group's row in the platform's table. Every change raises
-// Version; Term is raised by a promotion only.
+// Version; only a promotion raises Term.
 type Group struct {
 	ID      GroupID  `json:"id"`
 	Version uint64   `json:"version"`
 	Term    uint64   `json:"term"`
 	Primary TargetID `json:"primary"`
-	// Promoters is never empty: an empty list would let a pooler acknowledge
-	// with nobody to withdraw its right.
+	// Promoters is never empty: with an empty list a pooler could acknowledge writes
+	// while no daemon could withdraw its right.
 	Promoters []Promoter `json:"promoters"`
-	// Unsettled holds earlier lists of this term of which no entry is known to
-	// have stopped promising. A promotion needs one entry of each.
+	// Unsettled holds the earlier lists of this term in which no entry is known to
+	// have stopped promising. A promotion needs one entry of each list.
 	Unsettled []PromoterList `json:"unsettled,omitempty"`
-	// History lists the position at which each earlier term ended: what lies
-	// after it in that term is lost.
+	// History lists the position at which each earlier term ended. Entries of that
+	// term after this position are lost.
 	History []TermEnd `json:"history,omitempty"`
 	// ChangeID names the change that wrote this version, so that a writer whose
 	// answer was lost can tell its own change from another's.
 	ChangeID string `json:"change_id"`
 }
 
-// PromoterList is the list of one version of the row.
+// PromoterList is the list of promoters in one version of the row.
 type PromoterList struct {
 	Version   uint64     `json:"version"`
 	Promoters []Promoter `json:"promoters"`
@@ -88,8 +88,8 @@
 	End  position.Position `json:"end"`
 }
 
-// Lost reports whether an acknowledged write at p is missing from the group's
-// history: its term ended before it.
+// Lost reports whether an acknowledged write at p is lost: its term ended at an
+// earlier position.
 func (g *Group) Lost(p position.Position) bool {
 	for _, h := range g.History {
 		if h.Term == p.Term {
@@ -99,7 +99,7 @@
 	return false
 }
 
-// Clone returns a copy that shares nothing with g.
+// Clone returns a deep copy of g.
 func (g *Group) Clone() *Group {
 	c := *g
 	c.Promoters = append([]Promoter(nil), g.Promoters...)
