--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -1,4 +1,4 @@
-// Package limit keeps the customers' limits at this VM: it applies pkg/quota to the configuration in force.
+// Package limit enforces the customers' limits on this VM: it applies pkg/quota to the configuration in force.
 package limit
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Keeper decides whether operations of customers may begin. Safe for concurrent use.
+// Keeper decides whether operations of customers may begin. It is safe for concurrent use.
 type Keeper struct {
 	directory *directory.Directory
 	clock     mono.Clock
@@ -20,21 +20,21 @@
 
 	mu    sync.Mutex
 	meter *quota.Meter
-	// urgent gets a value when the allocator is to hear at once of what was admitted.
+	// urgent gets a value when a report should be sent to the allocator at once.
 	urgent chan struct{}
-	// limits and names are of the configuration with this version.
+	// version is that of the configuration from which limits and names were derived.
 	version uint64
 	limits  quota.Limits
 	names   map[quota.Tag]topology.CustomerID
 }
 
-// NewKeeper makes a keeper of a VM that has just started.
+// NewKeeper returns a keeper for a VM that has just started.
 func NewKeeper(d *directory.Directory, clock mono.Clock, policy quota.Policy) *Keeper {
 	return &Keeper{directory: d, clock: clock, policy: policy, meter: quota.NewMeter(), urgent: make(chan struct{}, 1)}
 }
 
-// follow takes over the configuration in force.
-func (k *Keeper) follow() {
+// updateConfiguration applies the configuration in force if it has changed.
+func (k *Keeper) updateConfiguration() {
 	c := k.directory.Configuration()
 	if c == nil || c.Version == k.version {
 		return
@@ -48,12 +48,12 @@
 	k.meter.Forget(k.limits)
 }
 
-// Admit refuses an operation that lies beyond its customer's limit. One that was admitted is given back by
-// Return if it is known not to have run.
+// Admit returns an error for an operation that would exceed its customer's limit. An admitted operation that
+// is known not to have run is given back with Return.
 func (k *Keeper) Admit(id topology.CustomerID) *result.Error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.follow()
+	k.updateConfiguration()
 	tag := quota.TagOf(id)
 	l, ok := k.limits[tag]
 	if !ok {
@@ -62,7 +62,7 @@
 	k.meter.SetVMs(len(k.directory.VMs()))
 	wait, ok := k.meter.Admit(tag, l, k.clock.Now())
 	if k.meter.Urgent() {
-		k.hurry()
+		k.signalUrgent()
 	}
 	if ok {
 		return nil
@@ -70,17 +70,17 @@
 	return result.New(result.MemberLimit, "%s: its limit is reached", id).After(wait.Round(time.Millisecond))
 }
 
-func (k *Keeper) hurry() {
+func (k *Keeper) signalUrgent() {
 	select {
 	case k.urgent <- struct{}{}:
 	default:
 	}
 }
 
-// Urgent gets a value when the allocator is to hear at once of what was admitted.
+// Urgent returns a channel that gets a value when a report should be sent to the allocator at once.
 func (k *Keeper) Urgent() <-chan struct{} { return k.urgent }
 
-// Return gives an operation back that was admitted and has not run.
+// Return gives back an operation that was admitted and is known not to have run.
 func (k *Keeper) Return(id topology.CustomerID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -93,7 +93,7 @@
 func (k *Keeper) Limits() quota.Limits {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.follow()
+	k.updateConfiguration()
 	return k.limits
 }
 
@@ -108,21 +108,21 @@
 	return names
 }
 
-// Report returns what came since the last report.
+// Report returns the usage since the last report.
 func (k *Keeper) Report() []quota.Usage {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.meter.Report()
 }
 
-// Take takes over the allocator's answer to a report that was sent at sent.
+// Take applies the allocator's answer to a report that was sent at sent.
 func (k *Keeper) Take(a *quota.Answer, sent mono.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.meter.Take(a, sent)
 }
 
-// Near notes customers that have just come near their limits.
+// Near marks customers that have just come near their limits.
 func (k *Keeper) Near(tags []quota.Tag) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
