--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -58,7 +58,7 @@
 	// SyncReplicas is how many replicas hold a commit before it is acknowledged.
 	SyncReplicas map[topology.GroupID]int
 	// Customers whose keys open sessions; nil: sessions need none.
-	Customers *customer.Register
+	Customers *customer.Registry
 	// IdleTransaction is how long a transaction may rest between two statements.
 	IdleTransaction time.Duration
 }
--- a/internal/forward/rows.go
+++ b/internal/forward/rows.go
@@ -41,7 +41,7 @@
 
 // Fetch implements directory.Neighbours.
 func (n Neighbours) Fetch(ctx context.Context, f directory.Feed, version uint64) (directory.Kept, bool) {
-	teller, ok := placement.Teller(n.Directory.Self(), n.Directory.VMs(), version)
+	teller, ok := placement.ChangeSource(n.Directory.Self(), n.Directory.VMs(), version)
 	if !ok {
 		return directory.Kept{}, false
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -194,7 +194,7 @@
 	f := start(t)
 	f.rights.set(false)
 	f.rights.mu.Lock()
-	f.rights.row = *f.rights.row.Closed("failed").Choosing(replica, position.Position{Term: 1, Index: 1}, true)
+	f.rights.row = *f.rights.row.Closed("failed").WithCandidate(replica, position.Position{Term: 1, Index: 1}, true)
 	f.rights.mu.Unlock()
 	f.open("bounded").expect("read a", "I ok d")
 }
--- a/internal/gateway/identity_test.go
+++ b/internal/gateway/identity_test.go
@@ -21,7 +21,7 @@
 		}
 		customers = append(customers, c)
 	}
-	register, err := customer.NewRegister(customers)
+	register, err := customer.NewRegistry(customers)
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/internal/gatewayd/daemon.go
+++ b/internal/gatewayd/daemon.go
@@ -96,7 +96,7 @@
 	Store     metastore.Store
 	Driver    *platform.Driver
 	Pools     *target.Pools
-	Limits    *limit.Keeper
+	Limits    *limit.Limiter
 	Clock     mono.Clock
 	Log       *slog.Logger
 	Metrics   *metrics.Peers
@@ -116,12 +116,12 @@
 	}), nil
 }
 
-func newKeeper(s Settings, d *directory.Directory, clock mono.Clock) *limit.Keeper {
+func newKeeper(s Settings, d *directory.Directory, clock mono.Clock) *limit.Limiter {
 	policy := quota.Policy{Window: s.QuotaWindow.Std(), Excess: s.QuotaExcess, Slack: s.QuotaSlack}
-	return limit.NewKeeper(d, clock, policy)
+	return limit.NewLimiter(d, clock, policy)
 }
 
-func newServer(s Settings, d *directory.Directory, pools *target.Pools, l *lead.Lead, limits *limit.Keeper, clock mono.Clock, log *slog.Logger, m *metrics.Entry, customers *metrics.Customers) *gateway.Server {
+func newServer(s Settings, d *directory.Directory, pools *target.Pools, l *lead.Lead, limits *limit.Limiter, clock mono.Clock, log *slog.Logger, m *metrics.Entry, customers *metrics.Customers) *gateway.Server {
 	return gateway.NewServer(gateway.Options{
 		Directory: d, Pools: pools, Rights: l, Limits: limits, Clock: clock, Log: log, Metrics: m, Customers: customers, MaxSessions: s.MaxSessions,
 		Codec: func(nc net.Conn) gateway.Caller { return platform.NewCaller(nc) },
--- a/internal/lead/candidate.go
+++ b/internal/lead/candidate.go
@@ -79,7 +79,7 @@
 	}
 	r.Log.Info("event=candidate_chosen", "group", r.group, "candidate", best.target.ID, "holds", s.Received,
 		"primary_held", former.held, "primary_stepped_down", former.answered)
-	return r.change(ctx, r.row.Choosing(best.target.ID, s.Received, former.answered && !s.Received.Less(former.held)))
+	return r.change(ctx, r.row.WithCandidate(best.target.ID, s.Received, former.answered && !s.Received.Less(former.held)))
 }
 
 // stepped is what the old primary answered when it was asked to step down.
--- a/internal/lead/cluster_test.go
+++ b/internal/lead/cluster_test.go
@@ -152,7 +152,7 @@
 	id        topology.VMID
 	lead      *lead.Lead
 	directory *directory.Directory
-	limits    *limit.Keeper
+	limits    *limit.Limiter
 	store     *gate
 	cancel    context.CancelFunc
 }
@@ -350,7 +350,7 @@
 	if c.configuration != nil {
 		d.SetConfiguration(c.configuration)
 	}
-	limits := limit.NewKeeper(d, mono.System{}, quota.Policy{Window: 5 * time.Second, Excess: 0.1, Slack: 20})
+	limits := limit.NewLimiter(d, mono.System{}, quota.Policy{Window: 5 * time.Second, Excess: 0.1, Slack: 20})
 	l := lead.New(lead.Options{
 		Directory: d, Store: store, Control: c.databases, Promotions: c.databases, Transport: transport,
 		Health: &health{databases: c.databases, since: map[topology.TargetID]time.Time{}},
--- a/internal/lead/commit.go
+++ b/internal/lead/commit.go
@@ -80,7 +80,7 @@
 	l.adopt(row, ownChange)
 	l.coordinator.Observe(row, began, l.Clock.Now())
 	if row.Open() {
-		l.holder.Read(row.Group, row.Version, began)
+		l.holder.RecordRead(row.Group, row.Version, began)
 		l.tell()
 	}
 }
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -100,7 +100,7 @@
 	Promotions Promotions
 	Health     Health
 	// Limits of customers at this VM; nil: there are none.
-	Limits    *limit.Keeper
+	Limits    *limit.Limiter
 	Transport *Transport
 	Clock     mono.Clock
 	Log       *slog.Logger
--- a/internal/lead/promote.go
+++ b/internal/lead/promote.go
@@ -92,7 +92,7 @@
 // chooseAgain drops a candidate that is down; the next run chooses another one.
 func (r *replacement) chooseAgain(ctx context.Context, why string) error {
 	failed := r.row.Handover.Candidate
-	if err := r.change(ctx, r.row.Choosing("", position.Position{}, false)); err != nil {
+	if err := r.change(ctx, r.row.WithCandidate("", position.Position{}, false)); err != nil {
 		return err
 	}
 	r.resumeReceiving(ctx, failed)
--- a/internal/lead/quota.go
+++ b/internal/lead/quota.go
@@ -47,7 +47,7 @@
 		return
 	}
 	if l.allocatorVM() != l.self.ID {
-		l.allocator.Stop()
+		l.allocator.Reset()
 		return
 	}
 	limits := l.Limits.Limits()
@@ -55,7 +55,7 @@
 		return
 	}
 	l.allocator.SetVMs(len(l.Directory.VMs()))
-	near := l.allocator.Note(m.From, m.Usage, limits, now)
+	near := l.allocator.RecordReport(m.From, m.Usage, limits, now)
 	answer.Quota = l.allocator.Answer(m.From, m.Usage, now)
 	if len(near) > 0 {
 		l.warn(near)
@@ -79,6 +79,6 @@
 // takeQuota takes over the allocator's answer.
 func (l *Lead) takeQuota(m *message, sent mono.Time) {
 	if l.Limits != nil && m.Quota != nil {
-		l.Limits.Take(m.Quota, sent)
+		l.Limits.ApplyAnswer(m.Quota, sent)
 	}
 }
--- a/internal/lead/quota_test.go
+++ b/internal/lead/quota_test.go
@@ -14,7 +14,7 @@
 // startLimited starts VMs that limit one customer.
 func startLimited(t *testing.T, vms int, l customer.Limit) *cluster {
 	t.Helper()
-	register, err := customer.NewRegister([]customer.Customer{{ID: limited, Limit: l}})
+	register, err := customer.NewRegistry([]customer.Customer{{ID: limited, Limit: l}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lead/renew.go
+++ b/internal/lead/renew.go
@@ -252,7 +252,7 @@
 	}
 	l.promised = true
 	had := now.Before(l.holder.Until(row.Group))
-	l.holder.Promised(row.Group, row.Version, sent)
+	l.holder.RecordPromise(row.Group, row.Version, sent)
 	if !had {
 		l.tell()
 	}
--- a/internal/lead/rows.go
+++ b/internal/lead/rows.go
@@ -115,7 +115,7 @@
 	}
 	l.adopt(&row, "store")
 	if reading {
-		l.holder.Read(row.Group, row.Version, began)
+		l.holder.RecordRead(row.Group, row.Version, began)
 		l.tell()
 	}
 	l.coordinator.Observe(&row, began, l.Clock.Now())
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -12,8 +12,8 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Keeper decides whether operations of customers may begin. It is safe for concurrent use.
-type Keeper struct {
+// Limiter decides whether operations of customers may begin. It is safe for concurrent use.
+type Limiter struct {
 	directory *directory.Directory
 	clock     mono.Clock
 	policy    quota.Policy
@@ -28,13 +28,13 @@
 	names   map[quota.Tag]topology.CustomerID
 }
 
-// NewKeeper returns a keeper for a VM that has just started.
-func NewKeeper(d *directory.Directory, clock mono.Clock, policy quota.Policy) *Keeper {
-	return &Keeper{directory: d, clock: clock, policy: policy, meter: quota.NewMeter(), urgent: make(chan struct{}, 1)}
+// NewLimiter returns a keeper for a VM that has just started.
+func NewLimiter(d *directory.Directory, clock mono.Clock, policy quota.Policy) *Limiter {
+	return &Limiter{directory: d, clock: clock, policy: policy, meter: quota.NewMeter(), urgent: make(chan struct{}, 1)}
 }
 
 // updateConfiguration applies the configuration in force if it has changed.
-func (k *Keeper) updateConfiguration() {
+func (k *Limiter) updateConfiguration() {
 	c := k.directory.Configuration()
 	if c == nil || c.Version == k.version {
 		return
@@ -50,7 +50,7 @@
 
 // Admit returns an error for an operation that would exceed its customer's limit. An admitted operation that
 // is known not to have run is given back with Return.
-func (k *Keeper) Admit(id topology.CustomerID) *result.Error {
+func (k *Limiter) Admit(id topology.CustomerID) *result.Error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.updateConfiguration()
@@ -70,7 +70,7 @@
 	return result.New(result.MemberLimit, "%s: its limit is reached", id).After(wait.Round(time.Millisecond))
 }
 
-func (k *Keeper) signalUrgent() {
+func (k *Limiter) signalUrgent() {
 	select {
 	case k.urgent <- struct{}{}:
 	default:
@@ -78,10 +78,10 @@
 }
 
 // Urgent returns a channel that gets a value when a report should be sent to the allocator at once.
-func (k *Keeper) Urgent() <-chan struct{} { return k.urgent }
+func (k *Limiter) Urgent() <-chan struct{} { return k.urgent }
 
 // Return gives back an operation that was admitted and is known not to have run.
-func (k *Keeper) Return(id topology.CustomerID) {
+func (k *Limiter) Return(id topology.CustomerID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if _, ok := k.limits[quota.TagOf(id)]; ok {
@@ -90,7 +90,7 @@
 }
 
 // Limits returns the limits in force. The map must not be changed.
-func (k *Keeper) Limits() quota.Limits {
+func (k *Limiter) Limits() quota.Limits {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.updateConfiguration()
@@ -98,7 +98,7 @@
 }
 
 // Names returns the customers' names, for logs.
-func (k *Keeper) Names(tags []quota.Tag) []topology.CustomerID {
+func (k *Limiter) Names(tags []quota.Tag) []topology.CustomerID {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	names := make([]topology.CustomerID, 0, len(tags))
@@ -109,21 +109,21 @@
 }
 
 // Report returns the usage since the last report.
-func (k *Keeper) Report() []quota.Usage {
+func (k *Limiter) Report() []quota.Usage {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.meter.Report()
 }
 
-// Take applies the allocator's answer to a report that was sent at sent.
-func (k *Keeper) Take(a *quota.Answer, sent mono.Time) {
+// ApplyAnswer applies the allocator's answer to a report that was sent at sent.
+func (k *Limiter) ApplyAnswer(a *quota.Answer, sent mono.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.meter.Take(a, sent)
+	k.meter.ApplyAnswer(a, sent)
 }
 
 // Near marks customers that have just come near their limits.
-func (k *Keeper) Near(tags []quota.Tag) {
+func (k *Limiter) Near(tags []quota.Tag) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.meter.Near(tags)
--- a/internal/target/pool.go
+++ b/internal/target/pool.go
@@ -116,9 +116,9 @@
 		return l, nil
 	}
 	now := p.clock.Now()
-	wait := p.waiting.Wait(r, now, p.health.latency, p.hold, len(p.links))
+	wait := p.waiting.EstimateWait(r, now, p.health.latency, p.hold, len(p.links))
 	if now.Add(wait).After(r.Deadline) {
-		p.waiting.Missed(r.Priority, now)
+		p.waiting.RecordMiss(r.Priority, now)
 		p.mu.Unlock()
 		return nil, result.New(result.QueueFull, "%s: a connection is expected in %v", p.target.ID, wait.Round(time.Millisecond)).After(wait)
 	}
--- a/pkg/customer/customer_test.go
+++ b/pkg/customer/customer_test.go
@@ -9,9 +9,9 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-func newRegister(t *testing.T, customers ...customer.Customer) *customer.Register {
+func newRegister(t *testing.T, customers ...customer.Customer) *customer.Registry {
 	t.Helper()
-	r, err := customer.NewRegister(customers)
+	r, err := customer.NewRegistry(customers)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 		"empty key":       {{ID: "a", Keys: []customer.Key{customer.KeyOf("")}}},
 		"rate below zero": {{ID: "a", Limit: customer.Limit{Rate: -1}}},
 	} {
-		_, err := customer.NewRegister(customers)
+		_, err := customer.NewRegistry(customers)
 		if result.From(err).Code != result.ConfigInvalid {
 			t.Errorf("%s: %v", name, err)
 		}
--- a/pkg/customer/register.go
+++ b/pkg/customer/register.go
@@ -29,16 +29,16 @@
 	Burst float64
 }
 
-// Register holds the customers of one configuration. It is immutable.
-type Register struct {
+// Registry holds the customers of one configuration. It is immutable.
+type Registry struct {
 	byKey map[Key]topology.CustomerID
 	byID  map[topology.CustomerID]Customer
 }
 
-// NewRegister returns a register of the customers, or an error if any of them is invalid. A key of two customers
+// NewRegistry returns a register of the customers, or an error if any of them is invalid. A key of two customers
 // is invalid since it would identify neither.
-func NewRegister(customers []Customer) (*Register, error) {
-	r := &Register{byKey: map[Key]topology.CustomerID{}, byID: make(map[topology.CustomerID]Customer, len(customers))}
+func NewRegistry(customers []Customer) (*Registry, error) {
+	r := &Registry{byKey: map[Key]topology.CustomerID{}, byID: make(map[topology.CustomerID]Customer, len(customers))}
 	for i := range customers {
 		if err := r.add(&customers[i]); err != nil {
 			return nil, err
@@ -47,7 +47,7 @@
 	return r, nil
 }
 
-func (r *Register) add(c *Customer) error {
+func (r *Registry) add(c *Customer) error {
 	if c.ID == "" {
 		return result.New(result.ConfigInvalid, "a customer has no name")
 	}
@@ -71,7 +71,7 @@
 }
 
 // Holder returns the customer that holds a key, and false if none does.
-func (r *Register) Holder(k Key) (topology.CustomerID, bool) {
+func (r *Registry) Holder(k Key) (topology.CustomerID, bool) {
 	if r == nil || k == (Key{}) {
 		return "", false
 	}
@@ -80,7 +80,7 @@
 }
 
 // Limit returns a customer's limit, and false if the customer is not declared.
-func (r *Register) Limit(id topology.CustomerID) (Limit, bool) {
+func (r *Registry) Limit(id topology.CustomerID) (Limit, bool) {
 	if r == nil {
 		return Limit{}, false
 	}
@@ -89,7 +89,7 @@
 }
 
 // Len returns the number of customers.
-func (r *Register) Len() int {
+func (r *Registry) Len() int {
 	if r == nil {
 		return 0
 	}
@@ -98,13 +98,13 @@
 
 // Largest returns the n customers with the greatest limits in descending order. A customer without a limit
 // counts as greater than any with one.
-func (r *Register) Largest(n int) []topology.CustomerID {
+func (r *Registry) Largest(n int) []topology.CustomerID {
 	ids := r.IDs()
 	slices.SortStableFunc(ids, func(a, b topology.CustomerID) int { return cmp.Compare(r.effectiveRate(b), r.effectiveRate(a)) })
 	return ids[:min(n, len(ids))]
 }
 
-func (r *Register) effectiveRate(id topology.CustomerID) float64 {
+func (r *Registry) effectiveRate(id topology.CustomerID) float64 {
 	if rate := r.byID[id].Limit.Rate; rate > 0 {
 		return rate
 	}
@@ -112,7 +112,7 @@
 }
 
 // IDs returns the IDs of the customers in ascending order.
-func (r *Register) IDs() []topology.CustomerID {
+func (r *Registry) IDs() []topology.CustomerID {
 	if r == nil {
 		return nil
 	}
--- a/pkg/lease/holder.go
+++ b/pkg/lease/holder.go
@@ -59,9 +59,9 @@
 	return true
 }
 
-// Read extends the right after a read of the store, sent at began, that showed the
+// RecordRead extends the right after a read of the store, sent at began, that showed the
 // version. A read of another version has no effect.
-func (h *Holder) Read(group topology.GroupID, version uint64, began mono.Time) {
+func (h *Holder) RecordRead(group topology.GroupID, version uint64, began mono.Time) {
 	g := h.groups[group]
 	if g == nil || g.row.Version != version || !g.row.Open() {
 		return
@@ -69,9 +69,9 @@
 	g.readUntil = max(g.readUntil, began.Add(Duration))
 }
 
-// Promised extends the right after the coordinator has promised it under the version. The
+// RecordPromise extends the right after the coordinator has promised it under the version. The
 // request for the promise was sent at sent.
-func (h *Holder) Promised(group topology.GroupID, version uint64, sent mono.Time) {
+func (h *Holder) RecordPromise(group topology.GroupID, version uint64, sent mono.Time) {
 	g := h.groups[group]
 	if g == nil || g.row.Version != version || !g.row.Open() {
 		return
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -45,7 +45,7 @@
 func TestConfirmFailsAfterPause(t *testing.T) {
 	h := lease.NewHolder()
 	h.Adopt(firstRow())
-	h.Promised("g", 1, 10*second)
+	h.RecordPromise("g", 1, 10*second)
 	right, ok := h.Right("g", 10*second)
 	if !ok || !h.Confirm(right, 10*second+halfDuration) {
 		t.Fatal("no right after a promise")
@@ -60,15 +60,15 @@
 func TestEitherSourceSuffices(t *testing.T) {
 	h := lease.NewHolder()
 	h.Adopt(firstRow())
-	h.Read("g", 1, 10*second)
+	h.RecordRead("g", 1, 10*second)
 	if _, ok := h.Right("g", 10*second+halfDuration); !ok {
 		t.Fatal("a read gives no right")
 	}
-	h.Promised("g", 1, 12*second)
+	h.RecordPromise("g", 1, 12*second)
 	if _, ok := h.Right("g", 12*second+halfDuration); !ok {
 		t.Fatal("a promise gives no right")
 	}
-	h.Read("g", 0, 20*second)
+	h.RecordRead("g", 0, 20*second)
 	if _, ok := h.Right("g", 20*second); ok {
 		t.Fatal("a read of an older row gave a right")
 	}
@@ -80,8 +80,8 @@
 func TestReadStaysValidAfterTakeover(t *testing.T) {
 	h := lease.NewHolder()
 	h.Adopt(firstRow())
-	h.Read("g", 1, 10*second)
-	h.Promised("g", 1, 11*second)
+	h.RecordRead("g", 1, 10*second)
+	h.RecordPromise("g", 1, 11*second)
 	taken := firstRow().TakenBy("vm-2", 1, "vm-2", nil)
 	h.Adopt(taken)
 	if _, ok := h.Right("g", 10*second+halfDuration); !ok {
@@ -206,7 +206,7 @@
 }
 
 func TestRowAfterHandover(t *testing.T) {
-	row := firstRow().Closed("x").Choosing("b", position.Position{Term: 3, Index: 9}, true).Opened(4)
+	row := firstRow().Closed("x").WithCandidate("b", position.Position{Term: 3, Index: 9}, true).Opened(4)
 	if row.Version != 4 || row.Term != 4 || row.Primary != "b" || !row.Open() {
 		t.Fatalf("%+v", row)
 	}
--- a/pkg/lease/model_test.go
+++ b/pkg/lease/model_test.go
@@ -109,7 +109,7 @@
 func (m *model) read(i int) {
 	if m.linked(storeLink, i) {
 		m.apply(i, m.store)
-		m.vms[i].holder.Read("g", m.store.Version, m.now)
+		m.vms[i].holder.RecordRead("g", m.store.Version, m.now)
 	}
 }
 
@@ -126,7 +126,7 @@
 	}
 	c := m.vms[j]
 	if c.coordinator.Promise("g", v.vm.ID, v.vm.Incarnation, row.Version, m.now) {
-		v.holder.Promised("g", row.Version, m.now)
+		v.holder.RecordPromise("g", row.Version, m.now)
 	}
 	if newer := c.holder.Row("g"); newer != nil && newer.Version > row.Version {
 		v.holder.Adopt(newer)
@@ -169,7 +169,7 @@
 			return true
 		}
 	}
-	chosen := row.Choosing(topology.TargetID(fmt.Sprintf("t%d", row.Term+1)), position.Position{Term: row.Term}, true)
+	chosen := row.WithCandidate(topology.TargetID(fmt.Sprintf("t%d", row.Term+1)), position.Position{Term: row.Term}, true)
 	if m.write(i, chosen) {
 		m.write(i, chosen.Opened(row.Term+1))
 	}
--- a/pkg/lease/row.go
+++ b/pkg/lease/row.go
@@ -152,8 +152,8 @@
 	return n
 }
 
-// Choosing returns the row with the handover's candidate set; end and complete are as in Handover.
-func (r *Row) Choosing(candidate topology.TargetID, end position.Position, complete bool) *Row {
+// WithCandidate returns the row with the handover's candidate set; end and complete are as in Handover.
+func (r *Row) WithCandidate(candidate topology.TargetID, end position.Position, complete bool) *Row {
 	n := r.next()
 	n.Handover.Candidate, n.Handover.End, n.Handover.Complete = candidate, end, complete
 	return n
--- a/pkg/placement/source.go
+++ b/pkg/placement/source.go
@@ -14,11 +14,11 @@
 // serve at once.
 const vmsPerSource = 6
 
-// Teller returns the VM of the same data centre from which self fetches a change of the store, and false if
+// ChangeSource returns the VM of the same data centre from which self fetches a change of the store, and false if
 // self reads it from the store. Only a few VMs of a data centre do, so that a change costs the data centre
 // few calls and few transfers. They are the VMs with the most processor time; among VMs with equal processor
 // time the choice depends on the version.
-func Teller(self topology.VM, vms []topology.VM, version uint64) (topology.VM, bool) {
+func ChangeSource(self topology.VM, vms []topology.VM, version uint64) (topology.VM, bool) {
 	candidates := slices.DeleteFunc(slices.Clone(vms), func(vm topology.VM) bool { return vm.DataCentre != self.DataCentre })
 	var key [8]byte
 	binary.LittleEndian.PutUint64(key[:], version)
--- a/pkg/placement/source_test.go
+++ b/pkg/placement/source_test.go
@@ -14,7 +14,7 @@
 		fetches := map[topology.VMID]int{}
 		readers := map[topology.VMID]bool{}
 		for _, vm := range all {
-			source, ok := placement.Teller(vm, all, version)
+			source, ok := placement.ChangeSource(vm, all, version)
 			if !ok {
 				readers[vm.ID] = true
 				continue
@@ -38,11 +38,11 @@
 func TestOnlyVMOfDataCentreReadsFromStore(t *testing.T) {
 	all := vms(3) // Each in a data centre of its own.
 	for _, vm := range all {
-		if source, ok := placement.Teller(vm, all, 7); ok {
+		if source, ok := placement.ChangeSource(vm, all, 7); ok {
 			t.Errorf("%s fetches changes from %s", vm.ID, source.ID)
 		}
 	}
-	if _, ok := placement.Teller(topology.VM{ID: "unknown", DataCentre: "dc-0"}, all, 7); ok {
+	if _, ok := placement.ChangeSource(topology.VM{ID: "unknown", DataCentre: "dc-0"}, all, 7); ok {
 		t.Error("a VM that is not registered fetches changes from another VM")
 	}
 }
--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -72,8 +72,8 @@
 // NewAllocator returns an allocator that has collected no reports yet.
 func NewAllocator() *Allocator { return &Allocator{} }
 
-// Stop discards all state. It is called when another VM collects the reports.
-func (a *Allocator) Stop() { *a = Allocator{} }
+// Reset discards all state. It is called when another VM collects the reports.
+func (a *Allocator) Reset() { *a = Allocator{} }
 
 // SetVMs sets the number of VMs.
 func (a *Allocator) SetVMs(n int) { a.vms = n }
@@ -81,8 +81,8 @@
 // Collects reports whether a report has been collected since the start or the last Stop.
 func (a *Allocator) Collects() bool { return a.collectingSince != 0 }
 
-// Note processes a VM's report, and returns the customers that have come near their limits.
-func (a *Allocator) Note(vm topology.VMID, usage []Usage, limits Limits, now mono.Time) []Tag {
+// RecordReport processes a VM's report, and returns the customers that have come near their limits.
+func (a *Allocator) RecordReport(vm topology.VMID, usage []Usage, limits Limits, now mono.Time) []Tag {
 	if a.collectingSince == 0 {
 		a.collectingSince, a.lastStep = now, now
 		a.reported = map[topology.VMID]mono.Time{}
--- a/pkg/quota/meter.go
+++ b/pkg/quota/meter.go
@@ -157,8 +157,8 @@
 	return all
 }
 
-// Take applies the allocator's answer to a report that was sent at sent.
-func (m *Meter) Take(a *Answer, sent mono.Time) {
+// ApplyAnswer applies the allocator's answer to a report that was sent at sent.
+func (m *Meter) ApplyAnswer(a *Answer, sent mono.Time) {
 	if sent < m.answeredReport {
 		return // A later report has been answered already.
 	}
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -43,8 +43,8 @@
 	Window time.Duration
 }
 
-// Of converts a declared limit.
-func (p Policy) Of(l customer.Limit) Limit {
+// LimitOf converts a declared limit.
+func (p Policy) LimitOf(l customer.Limit) Limit {
 	allowed := l.Rate*p.Window.Seconds() + l.Burst
 	return Limit{Rate: allowed / p.Window.Seconds(), Room: p.Excess*allowed + p.Slack, Window: p.Window}
 }
@@ -53,11 +53,11 @@
 type Limits map[Tag]Limit
 
 // LimitsOf returns the limits of a configuration's customers.
-func (p Policy) LimitsOf(r *customer.Register) Limits {
+func (p Policy) LimitsOf(r *customer.Registry) Limits {
 	limits := Limits{}
 	for _, id := range r.IDs() {
 		if l, ok := r.Limit(id); ok && l.Rate > 0 {
-			limits[TagOf(id)] = p.Of(l)
+			limits[TagOf(id)] = p.LimitOf(l)
 		}
 	}
 	return limits
--- a/pkg/quota/sim_test.go
+++ b/pkg/quota/sim_test.go
@@ -96,7 +96,7 @@
 		return
 	}
 	w.offered++
-	if _, ok := v.meter.Admit(w.tag, policy.Of(w.limit), w.now); ok {
+	if _, ok := v.meter.Admit(w.tag, policy.LimitOf(w.limit), w.now); ok {
 		w.admitted = append(w.admitted, w.now)
 	} else {
 		w.refused++
@@ -112,12 +112,12 @@
 		return
 	}
 	w.alloc.SetVMs(w.size)
-	near := w.alloc.Note(v.id, usage, quota.Limits{w.tag: policy.Of(w.limit)}, w.now)
+	near := w.alloc.RecordReport(v.id, usage, quota.Limits{w.tag: policy.LimitOf(w.limit)}, w.now)
 	answer := w.alloc.Answer(v.id, usage, w.now)
 	if w.bug != nil {
 		w.bug(answer)
 	}
-	v.meter.Take(answer, w.now)
+	v.meter.ApplyAnswer(answer, w.now)
 	if len(near) == 0 || w.bug != nil {
 		return
 	}
--- a/pkg/waitlist/waitlist.go
+++ b/pkg/waitlist/waitlist.go
@@ -61,8 +61,8 @@
 	return w
 }
 
-// Missed records that a request of the priority can't be answered within its objective.
-func (l *List[T]) Missed(priority int, now mono.Time) {
+// RecordMiss records that a request of the priority can't be answered within its objective.
+func (l *List[T]) RecordMiss(priority int, now mono.Time) {
 	if l.lastMiss == nil {
 		l.lastMiss = map[int]mono.Time{}
 	}
@@ -96,7 +96,7 @@
 		}
 		heap.Pop(&l.inTime)
 		w.late = true
-		l.Missed(w.Priority, now)
+		l.RecordMiss(w.Priority, now)
 		heap.Push(&l.late, w)
 	}
 	if len(l.late.items) == 0 {
@@ -157,10 +157,10 @@
 	return true
 }
 
-// Wait returns how long a new request would wait for one of the connections, each of which is held
+// EstimateWait returns how long a new request would wait for one of the connections, each of which is held
 // for the given time per request. If this would make the request late, it waits behind all requests that
 // are not late.
-func (l *List[T]) Wait(r Request, now mono.Time, service, hold time.Duration, connections int) time.Duration {
+func (l *List[T]) EstimateWait(r Request, now mono.Time, service, hold time.Duration, connections int) time.Duration {
 	if connections == 0 {
 		return 0 // No connection is known yet.
 	}
--- a/pkg/waitlist/waitlist_test.go
+++ b/pkg/waitlist/waitlist_test.go
@@ -33,7 +33,7 @@
 			arrival += mono.Time(random.ExpFloat64() * meanInterval)
 			out.offered++
 			r := waitlist.Request{Priority: 1, Useful: now + useful, Deadline: now + deadline}
-			if now.Add(list.Wait(r, now, time.Duration(service), time.Duration(service), len(busyUntil))).After(r.Deadline) {
+			if now.Add(list.EstimateWait(r, now, time.Duration(service), time.Duration(service), len(busyUntil))).After(r.Deadline) {
 				out.refused++
 				continue
 			}
