--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -28,7 +28,7 @@
 	names   map[quota.Tag]topology.CustomerID
 }
 
-// NewLimiter returns a keeper for a VM that has just started.
+// NewLimiter returns a limiter for a VM that has just started.
 func NewLimiter(d *directory.Directory, clock mono.Clock, policy quota.Policy) *Limiter {
 	return &Limiter{directory: d, clock: clock, policy: policy, meter: quota.NewMeter(), urgent: make(chan struct{}, 1)}
 }
--- a/pkg/customer/customer_test.go
+++ b/pkg/customer/customer_test.go
@@ -9,7 +9,7 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-func newRegister(t *testing.T, customers ...customer.Customer) *customer.Registry {
+func newRegistry(t *testing.T, customers ...customer.Customer) *customer.Registry {
 	t.Helper()
 	r, err := customer.NewRegistry(customers)
 	if err != nil {
@@ -19,7 +19,7 @@
 }
 
 func TestKeyIdentifiesItsHolder(t *testing.T) {
-	r := newRegister(t,
+	r := newRegistry(t,
 		customer.Customer{ID: "a", Keys: []customer.Key{customer.KeyOf("a1"), customer.KeyOf("a2")}},
 		customer.Customer{ID: "b", Keys: []customer.Key{customer.KeyOf("b1")}},
 		customer.Customer{ID: "without keys"},
--- a/pkg/customer/register.go
+++ b/pkg/customer/registry.go
@@ -35,7 +35,7 @@
 	byID  map[topology.CustomerID]Customer
 }
 
-// NewRegistry returns a register of the customers, or an error if any of them is invalid. A key of two customers
+// NewRegistry returns a registry of the customers, or an error if any of them is invalid. A key of two customers
 // is invalid since it would identify neither.
 func NewRegistry(customers []Customer) (*Registry, error) {
 	r := &Registry{byKey: map[Key]topology.CustomerID{}, byID: make(map[topology.CustomerID]Customer, len(customers))}
