--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -1,4 +1,4 @@
-// Package limit keeps the customers' limits at this VM: it applies pkg/quota to the configuration in force.
+// Package limit enforces the customers' limits on this VM: it applies pkg/quota to the configuration in force.
 package limit
 
 import (
@@ -12,29 +12,29 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Keeper decides whether operations of customers may begin. Safe for concurrent use.
-type Keeper struct {
+// Limiter decides whether operations of customers may begin. It is safe for concurrent use.
+type Limiter struct {
 	directory *directory.Directory
 	clock     mono.Clock
 	policy    quota.Policy
 
 	mu    sync.Mutex
 	meter *quota.Meter
-	// urgent gets a value when the allocator is to hear at once of what was admitted.
+	// urgent gets a value when a report should be sent to the allocator at once.
 	urgent chan struct{}
-	// limits and names are of the configuration with this version.
+	// version is that of the configuration from which limits and names were derived.
 	version uint64
 	limits  quota.Limits
 	names   map[quota.Tag]topology.CustomerID
 }
 
-// NewKeeper makes a keeper of a VM that has just started.
-func NewKeeper(d *directory.Directory, clock mono.Clock, policy quota.Policy) *Keeper {
-	return &Keeper{directory: d, clock: clock, policy: policy, meter: quota.NewMeter(), urgent: make(chan struct{}, 1)}
+// NewLimiter returns a limiter for a VM that has just started.
+func NewLimiter(d *directory.Directory, clock mono.Clock, policy quota.Policy) *Limiter {
+	return &Limiter{directory: d, clock: clock, policy: policy, meter: quota.NewMeter(), urgent: make(chan struct{}, 1)}
 }
 
-// follow takes over the configuration in force.
-func (k *Keeper) follow() {
+// updateConfiguration applies the configuration in force if it has changed.
+func (k *Limiter) updateConfiguration() {
 	c := k.directory.Configuration()
 	if c == nil || c.Version == k.version {
 		return
@@ -48,12 +48,12 @@
 	k.meter.Forget(k.limits)
 }
 
-// Admit refuses an operation that lies beyond its customer's limit. One that was admitted is given back by
-// Return if it is known not to have run.
-func (k *Keeper) Admit(id topology.CustomerID) *result.Error {
+// Admit returns an error for an operation that would exceed its customer's limit. An admitted operation that
+// is known not to have run is given back with Return.
+func (k *Limiter) Admit(id topology.CustomerID) *result.Error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.follow()
+	k.updateConfiguration()
 	tag := quota.TagOf(id)
 	l, ok := k.limits[tag]
 	if !ok {
@@ -62,7 +62,7 @@
 	k.meter.SetVMs(len(k.directory.VMs()))
 	wait, ok := k.meter.Admit(tag, l, k.clock.Now())
 	if k.meter.Urgent() {
-		k.hurry()
+		k.signalUrgent()
 	}
 	if ok {
 		return nil
@@ -70,18 +70,18 @@
 	return result.New(result.MemberLimit, "%s: its limit is reached", id).After(wait.Round(time.Millisecond))
 }
 
-func (k *Keeper) hurry() {
+func (k *Limiter) signalUrgent() {
 	select {
 	case k.urgent <- struct{}{}:
 	default:
 	}
 }
 
-// Urgent gets a value when the allocator is to hear at once of what was admitted.
-func (k *Keeper) Urgent() <-chan struct{} { return k.urgent }
+// Urgent returns a channel that gets a value when a report should be sent to the allocator at once.
+func (k *Limiter) Urgent() <-chan struct{} { return k.urgent }
 
-// Return gives an operation back that was admitted and has not run.
-func (k *Keeper) Return(id topology.CustomerID) {
+// Return gives back an operation that was admitted and is known not to have run.
+func (k *Limiter) Return(id topology.CustomerID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if _, ok := k.limits[quota.TagOf(id)]; ok {
@@ -90,15 +90,15 @@
 }
 
 // Limits returns the limits in force. The map must not be changed.
-func (k *Keeper) Limits() quota.Limits {
+func (k *Limiter) Limits() quota.Limits {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.follow()
+	k.updateConfiguration()
 	return k.limits
 }
 
 // Names returns the customers' names, for logs.
-func (k *Keeper) Names(tags []quota.Tag) []topology.CustomerID {
+func (k *Limiter) Names(tags []quota.Tag) []topology.CustomerID {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	names := make([]topology.CustomerID, 0, len(tags))
@@ -108,22 +108,22 @@
 	return names
 }
 
-// Report returns what came since the last report.
-func (k *Keeper) Report() []quota.Usage {
+// Report returns the usage since the last report.
+func (k *Limiter) Report() []quota.Usage {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.meter.Report()
 }
 
-// Take takes over the allocator's answer to a report that was sent at sent.
-func (k *Keeper) Take(a *quota.Answer, sent mono.Time) {
+// ApplyAnswer applies the allocator's answer to a report that was sent at sent.
+func (k *Limiter) ApplyAnswer(a *quota.Answer, sent mono.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.meter.Take(a, sent)
+	k.meter.ApplyAnswer(a, sent)
 }
 
-// Near notes customers that have just come near their limits.
-func (k *Keeper) Near(tags []quota.Tag) {
+// Near marks customers that have just come near their limits.
+func (k *Limiter) Near(tags []quota.Tag) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.meter.Near(tags)
--- a/pkg/customer/customer_test.go
+++ b/pkg/customer/customer_test.go
@@ -9,17 +9,17 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-func register(t *testing.T, customers ...customer.Customer) *customer.Register {
+func newRegistry(t *testing.T, customers ...customer.Customer) *customer.Registry {
 	t.Helper()
-	r, err := customer.NewRegister(customers)
+	r, err := customer.NewRegistry(customers)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-func TestAKeyNamesItsHolder(t *testing.T) {
-	r := register(t,
+func TestKeyIdentifiesItsHolder(t *testing.T) {
+	r := newRegistry(t,
 		customer.Customer{ID: "a", Keys: []customer.Key{customer.KeyOf("a1"), customer.KeyOf("a2")}},
 		customer.Customer{ID: "b", Keys: []customer.Key{customer.KeyOf("b1")}},
 		customer.Customer{ID: "without keys"},
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestBadCustomersAreRefused(t *testing.T) {
+func TestInvalidCustomersAreRefused(t *testing.T) {
 	key := []customer.Key{customer.KeyOf("k")}
 	for name, customers := range map[string][]customer.Customer{
 		"no name":         {{ID: "", Keys: key}},
@@ -41,15 +41,15 @@
 		"empty key":       {{ID: "a", Keys: []customer.Key{customer.KeyOf("")}}},
 		"rate below zero": {{ID: "a", Limit: customer.Limit{Rate: -1}}},
 	} {
-		_, err := customer.NewRegister(customers)
+		_, err := customer.NewRegistry(customers)
 		if result.From(err).Code != result.ConfigInvalid {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-// Guards against keys in logs: neither a key nor what stands for it is printed.
-func TestAKeyIsNotPrinted(t *testing.T) {
+// Guards against keys in logs: neither a plain key nor its hash may be printed.
+func TestKeyIsNotPrinted(t *testing.T) {
 	k := customer.KeyOf("hunter2")
 	for _, format := range []string{"%v", "%s", "%+v"} {
 		if got := fmt.Sprintf(format, k); strings.Contains(got, "hunter2") || got != "key" {
