--- a/internal/lead/candidate.go
+++ b/internal/lead/candidate.go
@@ -14,33 +14,35 @@
 )
 
 const (
-	// failedPatience is how long a primary that most VMs find failed is waited for to step down:
-	// a new connection to one that lives takes less, also behind a full queue. Waited for as
-	// long as any other, a dark one kept the promotion back after all rights had ended.
-	failedPatience = 150 * time.Millisecond
-	// stepDownTries is how often one that lives is told: what it holds and the candidate lacks
-	// is lost if the command goes unanswered, and a full target may refuse it.
-	stepDownTries = 3
-	// catchUpTime is how long a candidate may take to receive what the primary,
-	// having stepped down, holds.
-	catchUpTime = time.Second
-	catchUpPoll = 15 * time.Millisecond
+	// failedStepDownTimeout is how long to wait for a primary to step down that most VMs report as
+	// failing. A new connection to a running primary takes less, even behind a full queue. With the
+	// same timeout as for any other primary, an unreachable one delayed the promotion after all
+	// rights had ended.
+	failedStepDownTimeout = 150 * time.Millisecond
+	// stepDownAttempts is how often a running primary is ordered to step down: what only the
+	// primary holds, and not the candidate, is lost if the command is not answered, and a full
+	// target may refuse it.
+	stepDownAttempts = 3
+	// catchUpTimeout is how long a candidate may take to receive all that the primary held when it
+	// stepped down.
+	catchUpTimeout    = time.Second
+	catchUpPollPeriod = 15 * time.Millisecond
 )
 
-// errNoCandidate: no replica can be reached, so closing the row would only stop
-// those that may still reach the primary.
+// errNoCandidate is returned when no replica can be reached. Closing the row would then only stop
+// VMs that may still reach the primary.
 var errNoCandidate = errors.New("lead: no replica can be reached")
 
-// found is a target that answered.
-type found struct {
+// targetStatus is a target with the status that it returned.
+type targetStatus struct {
 	target topology.Target
 	status target.Status
 }
 
-// statuses asks the group's targets in parallel, the old primary only if wanted not.
-func (r *replacement) statuses(ctx context.Context, replicasOnly bool) []found {
+// statuses queries the group's targets in parallel; replicasOnly leaves the old primary out.
+func (r *replacement) statuses(ctx context.Context, replicasOnly bool) []targetStatus {
 	var mu sync.Mutex
-	var all []found
+	var all []targetStatus
 	var wg sync.WaitGroup
 	for _, t := range r.Directory.TargetsOf(r.group) {
 		if replicasOnly && t.ID == r.row.Primary || t.Leaving {
@@ -54,22 +56,22 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			all = append(all, found{target: t.Target, status: s})
+			all = append(all, targetStatus{target: t.Target, status: s})
 		})
 	}
 	wg.Wait()
 	return all
 }
 
-// choose picks the replica that received most, keeps it from receiving more, and
-// records it with what it holds. A target that leads the term already needs no promotion.
-func (r *replacement) choose(ctx context.Context, former stepped) error {
+// choose picks the replica that has received the most, stops it from receiving more, and records it
+// with its position. A target that already leads the term needs no promotion.
+func (r *replacement) choose(ctx context.Context, former stepDownResult) error {
 	best, err := r.best(ctx, former)
 	if err != nil {
 		return err
 	}
 	if r.leadsAlready(best.status) {
-		return r.returned(ctx, best.target.ID)
+		return r.reopenFor(ctx, best.target.ID)
 	}
 	ctxStop, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
@@ -82,28 +84,28 @@
 	return r.change(ctx, r.row.Choosing(best.target.ID, s.Received, former.answered && !s.Received.Less(former.held)))
 }
 
-// stepped is what the old primary answered when it was asked to step down.
-type stepped struct {
+// stepDownResult is the old primary's answer to the order to step down.
+type stepDownResult struct {
 	answered bool
-	// held is what it held then.
+	// held is the old primary's position at that time.
 	held position.Position
 }
 
-// stepDown asks the old primary to stop writing; then nothing of it needs be lost. The
-// row is closed, so what it refuses from now on could not be acknowledged anyway.
-func (r *replacement) stepDown(ctx context.Context, reason string) stepped {
+// stepDown orders the old primary to stop writing; if it does, nothing it holds is lost. The row is
+// closed, so writes that it refuses from now on could not be acknowledged anyway.
+func (r *replacement) stepDown(ctx context.Context, reason string) stepDownResult {
 	t, ok := r.Directory.Target(r.row.Primary)
 	if !ok {
-		return stepped{}
+		return stepDownResult{}
 	}
-	patience, tries := controlTimeout, stepDownTries
+	timeout, attempts := controlTimeout, stepDownAttempts
 	if reason == primaryFailed {
-		patience, tries = failedPatience, 1
+		timeout, attempts = failedStepDownTimeout, 1
 	}
 	var s target.Status
 	var err error
-	for range tries {
-		ctx, cancel := context.WithTimeout(ctx, patience)
+	for range attempts {
+		ctx, cancel := context.WithTimeout(ctx, timeout)
 		s, err = r.Control.StepDown(ctx, t.Target, r.row.Term+1)
 		cancel()
 		if err == nil {
@@ -112,36 +114,36 @@
 	}
 	if err != nil {
 		r.Log.Info("event=step_down_failed", "target", t.ID, "error", err)
-		return stepped{}
+		return stepDownResult{}
 	}
-	return stepped{answered: true, held: s.Received}
+	return stepDownResult{answered: true, held: s.Received}
 }
 
-// best returns the replica that holds most. After an orderly step down it is waited
-// for, until one holds all.
-func (r *replacement) best(ctx context.Context, former stepped) (found, error) {
-	end := time.Now().Add(catchUpTime)
+// best returns the replica that holds the most. If the old primary has stepped down, it
+// waits until a replica has caught up with it, for at most catchUpTimeout.
+func (r *replacement) best(ctx context.Context, former stepDownResult) (targetStatus, error) {
+	end := time.Now().Add(catchUpTimeout)
 	for {
 		all := r.statuses(ctx, true)
-		if len(all) < r.needed() {
-			return found{}, errNoCandidate
+		if len(all) < r.answersNeeded() {
+			return targetStatus{}, errNoCandidate
 		}
 		best := all[0]
 		for _, f := range all[1:] {
-			if r.better(f.status, best.status) {
+			if r.isBetter(f.status, best.status) {
 				best = f
 			}
 		}
 		if !former.answered || !best.status.Received.Less(former.held) || time.Now().After(end) {
 			return best, nil
 		}
-		wait.For(ctx, catchUpPoll)
+		wait.For(ctx, catchUpPollPeriod)
 	}
 }
 
-// better reports whether a should rather be the primary than b: it has received more, or leads
-// already and needs no promotion, or has less of it left to apply.
-func (r *replacement) better(a, b target.Status) bool {
+// isBetter reports whether a is the better choice for the primary than b: it has received more, or
+// already leads and needs no promotion, or has less left to apply.
+func (r *replacement) isBetter(a, b target.Status) bool {
 	if order := a.Received.Compare(b.Received); order != 0 {
 		return order > 0
 	}
@@ -153,22 +155,22 @@
 
 // leadsAlready reports whether a target other than the row's primary leads the row's term.
 //
-// A primary that crashes may come back at once, with its log and under another name. An order to promote it
-// succeeds and changes nothing, so no next term is to be waited for.
+// A crashed primary may restart at once, with its log and under another name. An order to promote
+// it succeeds without any effect, so waiting for the next term would never end.
 func (r *replacement) leadsAlready(s target.Status) bool {
 	return s.Primary && s.Term == r.row.Term
 }
 
-// returned opens the row for a target that leads the term already. All rights under the row
-// have ended, and it holds at least as much as any other that answered.
-func (r *replacement) returned(ctx context.Context, id topology.TargetID) error {
-	r.Log.Info("event=primary_returned", "group", r.group, "was", r.row.Primary, "is", id, "term", r.row.Term)
+// reopenFor opens the row for a target that already leads the term. All rights under the row have
+// ended, and the target holds at least as much as any other that answered.
+func (r *replacement) reopenFor(ctx context.Context, id topology.TargetID) error {
+	r.Log.Info("event=primary_returned", "group", r.group, "from", r.row.Primary, "to", id, "term", r.row.Term)
 	return r.change(ctx, r.row.Returned(id))
 }
 
-// needed is how many replicas must answer. Where commits wait for replicas, one that
-// has it must be among those that answer, whichever it is.
-func (r *replacement) needed() int {
+// answersNeeded returns how many replicas must answer. If commits wait for replicas, at least one
+// replica that holds a commit must be among those that answer, whichever it is.
+func (r *replacement) answersNeeded() int {
 	c := r.Directory.Configuration()
 	if c == nil || c.SyncReplicas[r.group] == 0 {
 		return 1
--- a/internal/lead/cluster_test.go
+++ b/internal/lead/cluster_test.go
@@ -29,22 +29,23 @@
 
 const group = topology.GroupID("g")
 
-// databases is the twin of a group's databases and of the platform that promotes them.
+// databases fakes a group's databases and the platform that promotes them.
 type databases struct {
-	mu      sync.Mutex
-	down    map[topology.TargetID]bool
-	role    map[topology.TargetID]bool // primary or not
-	term    uint64
-	index   map[topology.TargetID]uint64
-	orders  []order
-	refused map[topology.TargetID]bool // the platform won't promote it
-	// ineffective ones never lead, though the platform accepts their promotion.
+	mu        sync.Mutex
+	down      map[topology.TargetID]bool
+	isPrimary map[topology.TargetID]bool // whether the target is a primary
+	term      uint64
+	index     map[topology.TargetID]uint64
+	orders    []order
+	refused   map[topology.TargetID]bool // targets that the platform refuses to promote
+	// ineffective holds targets that never lead, although the platform accepts their promotion.
 	ineffective map[topology.TargetID]bool
-	// silent: the platform takes orders, and answers none.
-	silent bool
-	// patience is for how long the last command to step down could be answered.
-	patience time.Duration
-	// lag is how far behind each target is, and saturated those that refuse for their load.
+	// answerLost makes the platform execute orders without answering them.
+	answerLost bool
+	// stepDownTimeout is the timeout of the last command to step down.
+	stepDownTimeout time.Duration
+	// lag is how far each target is behind, and saturated marks those that refuse statements
+	// because of overload.
 	lag       map[topology.TargetID]time.Duration
 	saturated map[topology.TargetID]bool
 }
@@ -61,8 +62,8 @@
 	return &databases{
 		down: map[topology.TargetID]bool{}, refused: map[topology.TargetID]bool{}, ineffective: map[topology.TargetID]bool{}, term: 1,
 		lag: map[topology.TargetID]time.Duration{}, saturated: map[topology.TargetID]bool{},
-		role:  map[topology.TargetID]bool{"a": true, "b": false, "c": false},
-		index: map[topology.TargetID]uint64{"a": 9, "b": 9, "c": 7},
+		isPrimary: map[topology.TargetID]bool{"a": true, "b": false, "c": false},
+		index:     map[topology.TargetID]uint64{"a": 9, "b": 9, "c": 7},
 	}
 }
 
@@ -72,7 +73,7 @@
 	if d.down[t.ID] {
 		return target.Status{}, errDown
 	}
-	return target.Status{Primary: d.role[t.ID], Term: d.term, Received: position.Position{Term: 1, Index: d.index[t.ID]}, Lag: d.lag[t.ID]}, nil
+	return target.Status{Primary: d.isPrimary[t.ID], Term: d.term, Received: position.Position{Term: 1, Index: d.index[t.ID]}, Lag: d.lag[t.ID]}, nil
 }
 
 func (d *databases) StopReceiving(ctx context.Context, t topology.Target, _ uint64) (target.Status, error) {
@@ -86,16 +87,16 @@
 func (d *databases) StepDown(ctx context.Context, t topology.Target, _ uint64) (target.Status, error) {
 	deadline, _ := ctx.Deadline()
 	d.mu.Lock()
-	d.patience = time.Until(deadline)
+	d.stepDownTimeout = time.Until(deadline)
 	d.mu.Unlock()
 	if d.isDown(t.ID) {
-		<-ctx.Done() // It is dark, and nothing comes back.
+		<-ctx.Done() // An unreachable target never answers.
 	}
 	s, err := d.Status(ctx, t)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err == nil {
-		d.role[t.ID] = false
+		d.isPrimary[t.ID] = false
 		d.index["b"] = d.index[t.ID]
 	}
 	return s, err
@@ -108,25 +109,25 @@
 	if d.down[id] || d.refused[id] {
 		return lead.ErrNotPromotable
 	}
-	if d.role[id] || d.ineffective[id] {
-		return nil // It leads already, or the order is lost on the way.
+	if d.isPrimary[id] || d.ineffective[id] {
+		return nil // It already leads, or the promotion has no effect.
 	}
-	for other := range d.role {
-		d.role[other] = d.role[other] && d.down[other]
+	for other := range d.isPrimary {
+		d.isPrimary[other] = d.isPrimary[other] && d.down[other]
 	}
-	d.role[id] = true
+	d.isPrimary[id] = true
 	d.term++
-	if d.silent {
+	if d.answerLost {
 		return errDown
 	}
 	return nil
 }
 
-// lead has a target be a primary.
+// lead makes a target a primary.
 func (d *databases) lead(id topology.TargetID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.role[id] = true
+	d.isPrimary[id] = true
 }
 
 func (d *databases) kill(id topology.TargetID) {
@@ -153,27 +154,27 @@
 	lead      *lead.Lead
 	directory *directory.Directory
 	limits    *limit.Keeper
-	store     *gate
+	store     *faultyStore
 	cancel    context.CancelFunc
 }
 
-// gate cuts one VM off from the store.
-type gate struct {
+// faultyStore makes the store fail, slow or incomplete for one VM.
+type faultyStore struct {
 	metastore.Store
-	mu     sync.Mutex
-	closed bool
-	// slow is how long writes of keys that begin so take.
-	slow       time.Duration
-	slowPrefix string
-	// self is the VM, which sees no other one until aloneUntil.
-	self       topology.VMID
-	aloneUntil time.Time
-}
-
-// seen leaves the other VMs' registrations out for as long as the VM is to think that it is alone. A
-// watch begins before them then.
-func (g *gate) seen(rows metastore.Rows) metastore.Rows {
-	if time.Now().After(g.aloneUntil) {
+	mu          sync.Mutex
+	unavailable bool
+	// writeDelay delays writes of keys that begin with delayedPrefix.
+	writeDelay    time.Duration
+	delayedPrefix string
+	// self is the VM; the other VMs are hidden from it until isolatedUntil.
+	self          topology.VMID
+	isolatedUntil time.Time
+}
+
+// visible leaves out the other VMs' registrations while the VM is isolated. A watch then starts at
+// a version before them.
+func (g *faultyStore) visible(rows metastore.Rows) metastore.Rows {
+	if time.Now().After(g.isolatedUntil) {
 		return rows
 	}
 	own := slices.DeleteFunc(slices.Clone(rows.Rows), func(r metastore.Row) bool {
@@ -186,61 +187,61 @@
 	return rows
 }
 
-func (g *gate) slowDown(prefix string, by time.Duration) {
+func (g *faultyStore) delayWrites(prefix string, by time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.slowPrefix, g.slow = prefix, by
+	g.delayedPrefix, g.writeDelay = prefix, by
 }
 
-func (g *gate) slowness(key string) time.Duration {
+func (g *faultyStore) delayOf(key string) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.slow == 0 || !strings.HasPrefix(key, g.slowPrefix) {
+	if g.writeDelay == 0 || !strings.HasPrefix(key, g.delayedPrefix) {
 		return 0
 	}
-	return g.slow
+	return g.writeDelay
 }
 
-func (g *gate) shut(closed bool) {
+func (g *faultyStore) setUnavailable(unavailable bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.closed = closed
+	g.unavailable = unavailable
 }
 
-func (g *gate) err() error {
+func (g *faultyStore) err() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.closed {
+	if g.unavailable {
 		return errDown
 	}
 	return nil
 }
 
-func (g *gate) List(ctx context.Context, table string, keys metastore.Range) (metastore.Rows, error) {
+func (g *faultyStore) List(ctx context.Context, table string, keys metastore.Range) (metastore.Rows, error) {
 	if err := g.err(); err != nil {
 		return metastore.Rows{}, err
 	}
 	rows, err := g.Store.List(ctx, table, keys)
-	return g.seen(rows), err
+	return g.visible(rows), err
 }
 
-func (g *gate) Watch(ctx context.Context, table string, after uint64, wait time.Duration) (metastore.Rows, error) {
+func (g *faultyStore) Watch(ctx context.Context, table string, after uint64, wait time.Duration) (metastore.Rows, error) {
 	if err := g.err(); err != nil {
 		return metastore.Rows{}, err
 	}
-	time.Sleep(time.Until(g.aloneUntil))
+	time.Sleep(time.Until(g.isolatedUntil))
 	return g.Store.Watch(ctx, table, after, min(wait, 100*time.Millisecond))
 }
 
-func (g *gate) Put(ctx context.Context, table, key string, value []byte, expected uint64) (uint64, error) {
+func (g *faultyStore) Put(ctx context.Context, table, key string, value []byte, expected uint64) (uint64, error) {
 	if err := g.err(); err != nil {
 		return 0, err
 	}
-	time.Sleep(g.slowness(key))
+	time.Sleep(g.delayOf(key))
 	return g.Store.Put(ctx, table, key, value, expected)
 }
 
-// health tells what a VM's own requests would: a target that is down fails.
+// health simulates the results of a VM's own requests: a target that is down fails.
 type health struct {
 	databases *databases
 	mu        sync.Mutex
@@ -264,29 +265,29 @@
 
 func (h *health) Yield([]topology.TargetID) {}
 
-// cluster is some VMs with one store and one group of databases.
+// cluster is a number of VMs with one store and one group of databases.
 type cluster struct {
 	t         *testing.T
 	store     *metastore.Memory
 	databases *databases
 	vms       map[topology.VMID]*vm
 	addresses map[topology.VMID]string
-	// alone is for how long a VM that starts knows of no other one.
-	alone time.Duration
-	// configuration of all VMs; nil: none.
+	// isolatedFor is how long a starting VM does not see the other VMs.
+	isolatedFor time.Duration
+	// configuration applies to all VMs; nil means none.
 	configuration *directory.Configuration
 }
 
 func startCluster(t *testing.T, n int) *cluster {
 	t.Helper()
-	return startClusterAlone(t, n, 0)
+	return startIsolatedCluster(t, n, 0)
 }
 
-// startClusterAlone starts VMs that know of no other one for a while.
-func startClusterAlone(t *testing.T, n int, alone time.Duration) *cluster {
+// startIsolatedCluster starts VMs that do not see each other for a while.
+func startIsolatedCluster(t *testing.T, n int, isolatedFor time.Duration) *cluster {
 	t.Helper()
 	c := newCluster(t)
-	c.alone = alone
+	c.isolatedFor = isolatedFor
 	c.startVMs(n)
 	return c
 }
@@ -309,14 +310,14 @@
 	}
 }
 
-// hosts counts the loopback addresses in use.
-var hosts atomic.Uint32
+// hostCount counts the loopback addresses in use.
+var hostCount atomic.Uint32
 
-// freeAddress returns an address that nobody else uses, also while its VM is stopped: another test
-// would otherwise be given its port.
+// freeAddress returns an address that is used by no other VM, even while its own VM is stopped:
+// with a shared host, another test could be given its port.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	n := hosts.Add(1)
+	n := hostCount.Add(1)
 	host := netip.AddrFrom4([4]byte{127, byte(2 + os.Getpid()%250), byte(n >> 8), byte(n)}) //nolint:gosec // Cut to bytes.
 	conn, err := net.ListenPacket("udp4", netip.AddrPortFrom(host, 0).String())
 	if err != nil {
@@ -326,7 +327,7 @@
 	return conn.LocalAddr().String()
 }
 
-// start starts a VM, or starts it again.
+// start starts or restarts a VM.
 func (c *cluster) start(id topology.VMID) {
 	c.t.Helper()
 	log := slog.New(slog.DiscardHandler)
@@ -334,7 +335,7 @@
 		log = slog.New(slog.NewTextHandler(os.Stderr, nil)).With("vm", id)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	store := &gate{Store: c.store, self: id, aloneUntil: time.Now().Add(c.alone)}
+	store := &faultyStore{Store: c.store, self: id, isolatedUntil: time.Now().Add(c.isolatedFor)}
 	self, err := lead.Register(ctx, store, topology.VM{ID: id, DataCentre: topology.DataCentre("dc-" + string(id)), PeerAddress: c.addresses[id]}, log)
 	if err != nil {
 		c.t.Fatal(err)
@@ -368,7 +369,7 @@
 	time.Sleep(50 * time.Millisecond) // Its socket closes.
 }
 
-// eventually waits until ok holds.
+// eventually waits until ok returns true.
 func (c *cluster) eventually(within time.Duration, what string, ok func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -398,7 +399,7 @@
 	return nil
 }
 
-func (c *cluster) settle() topology.VMID {
+func (c *cluster) awaitRights() topology.VMID {
 	c.t.Helper()
 	c.eventually(5*time.Second, "every VM has the right", func() bool { return c.allRight("a") })
 	return c.row().Coordinator
--- a/internal/lead/commit.go
+++ b/internal/lead/commit.go
@@ -17,21 +17,22 @@
 )
 
 const (
-	// commitPatience is how long a change of a row is repeated. A store that is
-	// out for longer is asked again by whoever needs the change.
-	commitPatience = 4 * time.Second
-	// commitRetry is the first pause between two tries; it doubles up to longestCommitRetry.
-	commitRetry        = 100 * time.Millisecond
-	longestCommitRetry = 800 * time.Millisecond
-	// controlTimeout bounds a command to a target: a few times what a new connection behind a full
-	// queue takes.
+	// commitTimeout is how long the write of a row is retried. During a longer outage of the store,
+	// the caller that needs the change tries again.
+	commitTimeout = 4 * time.Second
+	// commitRetryDelay is the pause after the first attempt; it doubles up to
+	// longestCommitRetryDelay.
+	commitRetryDelay        = 100 * time.Millisecond
+	longestCommitRetryDelay = 800 * time.Millisecond
+	// controlTimeout limits a command to a target: a few times the duration of a new connection
+	// behind a full queue.
 	controlTimeout = 400 * time.Millisecond
 )
 
-// errOvertaken: another VM's change of the row came first.
-var errOvertaken = errors.New("lead: the row was changed by another VM")
+// errSuperseded is returned when another VM's change came first.
+var errSuperseded = errors.New("lead: the row was changed by another VM")
 
-// commit writes a row and tells all VMs.
+// commit writes a row and notifies all VMs.
 func (l *Lead) commit(ctx context.Context, row *lease.Row) error {
 	if err := l.write(ctx, row); err != nil {
 		return err
@@ -40,9 +41,9 @@
 	return nil
 }
 
-// write writes a row over the version before it. An answer may be lost after the
-// change took effect, and the change may take effect late: the same conditional
-// write is repeated until it is answered, and a conflict is settled by reading.
+// write replaces the previous version of a row. An answer may be lost after the change took effect,
+// and the change may take effect late. Therefore the same conditional write is repeated until it is
+// answered, and a conflict is resolved by reading the row.
 func (l *Lead) write(ctx context.Context, row *lease.Row) error {
 	raw, err := json.Marshal(row)
 	if err != nil {
@@ -52,12 +53,12 @@
 	expected := l.versions[row.Group]
 	if present := l.holder.Row(row.Group); present != nil && present.Version != row.Version-1 {
 		l.mu.Unlock()
-		return errOvertaken
+		return errSuperseded
 	}
 	l.mu.Unlock()
 	key := groupPrefix + string(row.Group)
-	end := l.Clock.Now().Add(commitPatience)
-	for rest := commitRetry; ; rest = min(2*rest, longestCommitRetry) {
+	end := l.Clock.Now().Add(commitTimeout)
+	for pause := commitRetryDelay; ; pause = min(2*pause, longestCommitRetryDelay) {
 		began := l.Clock.Now()
 		version, err := l.Store.Put(ctx, Table, key, raw, expected)
 		switch {
@@ -65,11 +66,11 @@
 			l.committed(row, version, began)
 			return nil
 		case errors.Is(err, metastore.ErrConflict):
-			return l.settle(ctx, row)
+			return l.resolveConflict(ctx, row)
 		case ctx.Err() != nil || l.Clock.Now().After(end):
 			return err
 		}
-		wait.For(ctx, rest/2+rand.N(rest)) //nolint:gosec // Spreads load only.
+		wait.For(ctx, pause/2+rand.N(pause)) //nolint:gosec // Spreads load only.
 	}
 }
 
@@ -81,25 +82,25 @@
 	l.coordinator.Observe(row, began, l.Clock.Now())
 	if row.Open() {
 		l.holder.Read(row.Group, row.Version, began)
-		l.tell()
+		l.wakeWaiters()
 	}
 }
 
-// settle finds out after a conflict whether the row in the store is the one that was
-// to be written: an earlier try of the same write may have made it.
-func (l *Lead) settle(ctx context.Context, row *lease.Row) error {
+// resolveConflict finds out after a conflict whether the row in the store is the one being written:
+// an earlier attempt of the same write may have succeeded.
+func (l *Lead) resolveConflict(ctx context.Context, row *lease.Row) error {
 	if err := l.readDecisions(ctx); err != nil {
 		return err
 	}
 	present := l.Row(row.Group)
 	if present == nil || !sameChange(present, row) {
-		return errOvertaken
+		return errSuperseded
 	}
 	return nil
 }
 
-// sameChange reports whether the row in the store is the one that this VM was writing. An
-// earlier change of its own whose outcome it never learnt may have taken effect instead.
+// sameChange reports whether the row in the store is the one that this VM was writing. An earlier
+// change by this VM whose outcome it did not learn may have taken effect instead.
 func sameChange(present, row *lease.Row) bool {
 	return present.Version == row.Version && present.Fence == row.Fence && present.Open() == row.Open() &&
 		present.Coordinator == row.Coordinator && present.Incarnation == row.Incarnation
--- a/internal/lead/digest.go
+++ b/internal/lead/digest.go
@@ -9,7 +9,8 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// groupSet is a set of groups by their places in a list that both sides of a message know.
+// groupSet is a bitmap of groups, indexed by their place in a list that both sides of a message
+// know.
 type groupSet []byte
 
 func (s *groupSet) add(i int) {
@@ -23,7 +24,7 @@
 	return i/8 < len(s) && s[i/8]&(1<<(i%8)) != 0
 }
 
-// digestOf returns a number that stands for rows at their versions, in this order; it is not 0.
+// digestOf returns a digest of the rows and their versions, in this order; it is never 0.
 func digestOf(rows []*lease.Row) uint64 {
 	var h xxhash.Digest
 	h.Reset()
@@ -36,7 +37,7 @@
 	return max(1, h.Sum64())
 }
 
-// rowsOf returns the rows that this VM knows of a coordinator, in the order of their groups.
+// rowsOf returns the known rows of a coordinator, in the order of their groups.
 func (l *Lead) rowsOf(coordinator topology.VMID) []*lease.Row {
 	var rows []*lease.Row
 	for _, group := range l.groups() {
@@ -47,8 +48,8 @@
 	return rows
 }
 
-// coordinated returns the rows that this VM coordinates, in the order of their groups.
-func (l *Lead) coordinated() []*lease.Row {
+// coordinatedRows returns the rows that this VM coordinates, in the order of their groups.
+func (l *Lead) coordinatedRows() []*lease.Row {
 	var rows []*lease.Row
 	for _, group := range l.groups() {
 		if row := l.coordinator.Row(group); row != nil {
--- a/internal/lead/digest_test.go
+++ b/internal/lead/digest_test.go
@@ -12,40 +12,41 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// finding is how a VM finds the targets: one of them fails.
-type finding struct {
+// fakeHealth is the health of targets of which one fails.
+type fakeHealth struct {
 	clock   *mono.Manual
 	failing topology.TargetID
 }
 
-func (f finding) Load(id topology.TargetID) (target.Load, bool) {
+func (f fakeHealth) Load(id topology.TargetID) (target.Load, bool) {
 	if id == f.failing {
 		return target.Load{FailingFor: time.Second}, true
 	}
 	return target.Load{LastAnswer: f.clock.Now()}, true
 }
 
-func (finding) Starved() []topology.TargetID { return nil }
+func (fakeHealth) Starved() []topology.TargetID { return nil }
 
-func (finding) Yield([]topology.TargetID) {}
+func (fakeHealth) Yield([]topology.TargetID) {}
 
-// pair is a coordinator and another VM that know the same rows; messages are passed by the test.
-func pair(groups int) (coordinator, vm *Lead, clock *mono.Manual) {
+// newPair returns a coordinator and another VM that know the same rows; the test passes the
+// messages.
+func newPair(groups int) (coordinator, vm *Lead, clock *mono.Manual) {
 	clock = &mono.Manual{T: mono.Time(time.Minute)}
-	made := func(id topology.VMID) *Lead {
+	newLead := func(id topology.VMID) *Lead {
 		d := directory.New(topology.VM{ID: id, Incarnation: 1})
 		for i := range groups {
 			d.SetTarget(directory.Target{Target: topology.Target{ID: targetNumber(i), Group: groupNumber(i)}, SaysPrimary: true})
 		}
-		l := New(Options{Directory: d, Clock: clock, Health: finding{clock: clock, failing: targetNumber(1)}})
-		l.connected = clock.Now().Add(-time.Minute)
+		l := New(Options{Directory: d, Clock: clock, Health: fakeHealth{clock: clock, failing: targetNumber(1)}})
+		l.connectedSince = clock.Now().Add(-time.Minute)
 		for i := range groups {
 			l.holder.Adopt(rowNumber(i))
 			l.coordinator.Observe(rowNumber(i), clock.Now(), clock.Now())
 		}
 		return l
 	}
-	return made("vm-1"), made("vm-2"), clock
+	return newLead("vm-1"), newLead("vm-2"), clock
 }
 
 func groupNumber(i int) topology.GroupID { return topology.GroupID(fmt.Sprintf("group-%03d", i)) }
@@ -56,18 +57,19 @@
 	return &lease.Row{Group: groupNumber(i), Version: 1, Term: 1, Primary: targetNumber(i), Coordinator: "vm-1", Incarnation: 1, Fence: 1}
 }
 
-// renewalOf is what a VM would send to vm-1 now.
+// renewalOf returns the renewal that a VM would send to vm-1 now.
 func renewalOf(l *Lead) *message {
 	m := &message{Kind: renewal, From: l.self.ID, Incarnation: 1, Sequence: 1}
 	l.reportByDigest(m, l.rowsOf("vm-1"))
-	l.renewals["vm-1"] = &exchange{sentAt: map[uint64]mono.Time{1: l.Clock.Now()}}
+	l.renewals["vm-1"] = &renewalState{sentAt: map[uint64]mono.Time{1: l.Clock.Now()}}
 	return m
 }
 
-// Guards against renewals that grow with the number of groups: one VM gets them from all others.
+// Guards against renewals that grow with the number of groups: one VM receives them from all
+// others.
 func TestARenewalDoesNotListItsGroups(t *testing.T) {
-	_, few, _ := pair(2)
-	_, many, _ := pair(200)
+	_, few, _ := newPair(2)
+	_, many, _ := newPair(200)
 	size := func(l *Lead) int {
 		raw, err := encode(renewalOf(l))
 		if err != nil {
@@ -80,10 +82,10 @@
 	}
 }
 
-// Both know the same rows: all rights come with one promise, and the coordinator hears how the VM
-// finds each primary.
+// If both VMs know the same rows, one promise gives all rights, and the coordinator receives the
+// VM's reports on each primary.
 func TestAPromiseByDigestIsForAllGroups(t *testing.T) {
-	coordinator, vm, clock := pair(20)
+	coordinator, vm, clock := newPair(20)
 	answer := &message{Kind: promise, From: "vm-1", Incarnation: 1, Sequence: 1}
 	coordinator.promiseByDigest(renewalOf(vm), answer, clock.Now())
 	vm.handlePromise(answer)
@@ -98,9 +100,9 @@
 	}
 }
 
-// Guards against a right under a row that is closed: its group has no promise, the others have theirs.
+// Guards against a right under a closed row: its group gets no promise, while the others do.
 func TestAPromiseByDigestLeavesOutClosedRows(t *testing.T) {
-	coordinator, vm, clock := pair(20)
+	coordinator, vm, clock := newPair(20)
 	closed := rowNumber(7).Closed(primaryFailed)
 	coordinator.coordinator.Withdraw(closed.Group)
 	answer := &message{Kind: promise, From: "vm-1", Incarnation: 1, Sequence: 1}
@@ -113,10 +115,10 @@
 	}
 }
 
-// Guards against a right by an older row: the coordinator has closed it, and asks for all rows of a
-// VM that knows another one.
+// Guards against a right under an older row: the coordinator has closed it, and requests all rows
+// from a VM that knows a different version.
 func TestADigestOfOtherRowsIsNoPromise(t *testing.T) {
-	coordinator, vm, clock := pair(20)
+	coordinator, vm, clock := newPair(20)
 	coordinator.coordinator.Observe(rowNumber(7).Closed(primaryFailed), clock.Now(), clock.Now())
 	answer := &message{Kind: promise, From: "vm-1", Incarnation: 1, Sequence: 1}
 	coordinator.promiseByDigest(renewalOf(vm), answer, clock.Now())
@@ -128,10 +130,10 @@
 	}
 }
 
-// Guards against a right by a promise that was overtaken: the VM has adopted another row since it
-// asked.
-func TestAPromiseForRowsOfBeforeIsPassedOver(t *testing.T) {
-	coordinator, vm, clock := pair(20)
+// Guards against a right by an outdated promise: the VM has adopted another row since it sent the
+// renewal.
+func TestAPromiseForOutdatedRowsIsIgnored(t *testing.T) {
+	coordinator, vm, clock := newPair(20)
 	answer := &message{Kind: promise, From: "vm-1", Incarnation: 1, Sequence: 1}
 	coordinator.promiseByDigest(renewalOf(vm), answer, clock.Now())
 	vm.holder.Adopt(rowNumber(7).Closed(primaryFailed))
--- a/internal/lead/duty.go
+++ b/internal/lead/duty.go
@@ -13,43 +13,43 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// dutyKey is the row that says who may order promotions.
+// dutyKey is the key of the row that records which VM may order promotions.
 const dutyKey = "duty/promotion"
 
 const (
-	// dutySettle is how long a new holder of the duty waits if another VM held it
-	// before. It is longer than one order of that VM may be on its way.
-	dutySettle = 700 * time.Millisecond
-	// dutyFresh is how long before an order the duty must have been read as ours.
-	dutyFresh = 300 * time.Millisecond
+	// dutySettleTime is how long a new holder of the duty waits if another VM held it before. It is
+	// longer than an order of that VM may be in flight.
+	dutySettleTime = 700 * time.Millisecond
+	// maxDutyAge is how long before an order the duty must have been read as held by this VM.
+	maxDutyAge = 300 * time.Millisecond
 )
 
-// duty is the right to order promotions, for all groups: one VM holds it at a time,
-// and its fencing token rises with each holder. The platform does not check the token,
-// so that an order of a replaced holder which comes late would count.
+// duty is the right to order promotions for all groups. One VM holds it at a time, and its fencing
+// token increases with each holder. The platform does not check the token, so a late order of a
+// former holder would still take effect.
 type duty struct {
 	Holder      topology.VMID        `json:"holder"`
 	Incarnation topology.Incarnation `json:"incarnation"`
 	Fence       uint64               `json:"fence"`
 }
 
-// dutyState is what this VM knows of the duty.
+// dutyState is this VM's knowledge of the duty.
 type dutyState struct {
 	duty
 	version uint64
-	// read is when the newest reading began that showed it, and seen when this VM learnt of it.
+	// read is when the newest read that returned it began, and seen is when this VM learnt of it.
 	read, seen mono.Time
-	// usable is from when this VM may order, once it holds the duty.
-	usable mono.Time
+	// usableFrom is when this VM may start to send orders, provided that it holds the duty.
+	usableFrom mono.Time
 }
 
-// ours reports whether this start of this VM holds the duty.
-func (l *Lead) dutyIsOurs() bool {
+// holdsDuty reports whether this incarnation of this VM holds the duty.
+func (l *Lead) holdsDuty() bool {
 	return l.duty.Holder == l.self.ID && l.duty.Incarnation == l.self.Incarnation
 }
 
-// takeDuty takes the row over as it was read.
-func (l *Lead) takeDuty(r metastore.Row, began mono.Time) {
+// applyDuty applies the duty's row as read from the store.
+func (l *Lead) applyDuty(r metastore.Row, began mono.Time) {
 	var d duty
 	if err := json.Unmarshal(r.Value, &d); err != nil {
 		l.Log.Error("event=row_malformed", "key", r.Key, "error", err)
@@ -60,33 +60,33 @@
 	if r.Version < l.duty.version {
 		return
 	}
-	was := l.dutyIsOurs()
+	was := l.holdsDuty()
 	if r.Version > l.duty.version {
 		l.duty.seen = l.Clock.Now()
 	}
 	l.duty.duty, l.duty.version = d, r.Version
 	l.duty.read = max(l.duty.read, began)
-	if l.dutyIsOurs() && !was {
-		// Its former holder gave it. An order that it sent just before may still be on
-		// its way, and would arrive with a lower fence after one of this VM.
-		l.duty.usable = l.Clock.Now().Add(dutySettle)
+	if l.holdsDuty() && !was {
+		// The former holder gave it to this VM. An order that it sent just before may still be in
+		// flight, and would arrive with a lower fence after an order of this VM.
+		l.duty.usableFrom = l.Clock.Now().Add(dutySettleTime)
 	}
 }
 
-// acquireDuty makes this VM the holder of the duty and returns its fencing token once
-// an order may be sent.
+// acquireDuty makes this VM the holder of the duty and returns its fencing token once this VM may
+// send orders.
 func (l *Lead) acquireDuty(ctx context.Context) (fence uint64, err error) {
 	l.mu.Lock()
-	moving := l.placing.moving
+	moving := l.relocation.moving
 	l.mu.Unlock()
 	if moving {
-		return 0, errOvertaken
+		return 0, errSuperseded
 	}
 	if err := l.readDuty(ctx); err != nil {
 		return 0, err
 	}
 	l.mu.Lock()
-	held, former := l.dutyIsOurs(), l.duty
+	held, former := l.holdsDuty(), l.duty
 	l.mu.Unlock()
 	if !held {
 		if err := l.claimDuty(ctx, former); err != nil {
@@ -94,7 +94,7 @@
 		}
 	}
 	l.mu.Lock()
-	settling := l.duty.usable.Sub(l.Clock.Now())
+	settling := l.duty.usableFrom.Sub(l.Clock.Now())
 	fence = l.duty.Fence
 	l.mu.Unlock()
 	if settling <= 0 {
@@ -106,17 +106,17 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.dutyIsOurs() {
-		// Claiming it back at once would have two VMs take it from each other for good.
-		return 0, errOvertaken
+	if !l.holdsDuty() {
+		// Claiming it back at once would make two VMs take it from each other forever.
+		return 0, errSuperseded
 	}
 	return l.duty.Fence, nil
 }
 
-// readDuty reads the row unless it was read just now.
+// readDuty reads the row unless it was read within maxDutyAge.
 func (l *Lead) readDuty(ctx context.Context) error {
 	l.mu.Lock()
-	fresh := l.dutyIsOurs() && l.Clock.Now().Sub(l.duty.read) < dutyFresh
+	fresh := l.holdsDuty() && l.Clock.Now().Sub(l.duty.read) < maxDutyAge
 	l.mu.Unlock()
 	if fresh {
 		return nil
@@ -124,13 +124,13 @@
 	return l.readDecisions(ctx)
 }
 
-// giveDuty passes the duty on; nobody's duty is given, too. The caller sees to it that
-// this VM sends no order meanwhile. One after it first reads the duty anew: the answer may
-// be lost after the change took effect.
+// giveDuty passes the duty on to another VM, also if nobody holds it. The caller ensures that this
+// VM sends no order meanwhile. Before a later order the duty is read again, as the answer may be
+// lost after the change took effect.
 func (l *Lead) giveDuty(ctx context.Context, to topology.VM) {
 	l.mu.Lock()
 	state := l.duty
-	may := l.dutyIsOurs() || state.Holder == ""
+	may := l.holdsDuty() || state.Holder == ""
 	l.mu.Unlock()
 	if !may || to.ID == "" {
 		return
@@ -161,7 +161,7 @@
 	began := l.Clock.Now()
 	version, err := l.Store.Put(ctx, Table, dutyKey, raw, former.version)
 	if errors.Is(err, metastore.ErrConflict) {
-		return errOvertaken // Read again before the next try: it may be ours after all.
+		return errSuperseded // It is read again before the next attempt: this VM may hold it after all.
 	}
 	if err != nil {
 		return err
@@ -169,9 +169,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Clock.Now()
-	l.duty = dutyState{duty: next, version: version, read: began, usable: now}
+	l.duty = dutyState{duty: next, version: version, read: began, usableFrom: now}
 	if former.Holder != "" && former.Holder != l.self.ID {
-		l.duty.usable = now.Add(dutySettle)
+		l.duty.usableFrom = now.Add(dutySettleTime)
 	}
 	l.Log.Info("event=duty_claimed", "fence", next.Fence, "from", former.Holder)
 	return nil
--- a/internal/lead/firstrow.go
+++ b/internal/lead/firstrow.go
@@ -12,36 +12,38 @@
 )
 
 const (
-	// firstDelay lets the first listing, and the other VMs' registrations, come.
-	firstDelay = 300 * time.Millisecond
-	// firstSettle is how long registrations that go on coming are waited for at most.
-	firstSettle = 2 * time.Second
-	// firstGrace is how long the holder of the duty is waited for to write first rows.
-	firstGrace = 2 * time.Second
+	// firstRowDelay leaves time for the first listing and for the other VMs' registrations to
+	// arrive.
+	firstRowDelay = 300 * time.Millisecond
+	// firstRowSettleTime is the longest wait for further registrations.
+	firstRowSettleTime = 2 * time.Second
+	// dutyHolderGrace is how long the other VMs wait for the holder of the duty to write first
+	// rows.
+	dutyHolderGrace = 2 * time.Second
 )
 
-// firstRows writes the rows of groups that have none.
+// firstRows writes the rows of groups that have none, in the background.
 func (l *Lead) firstRows(ctx context.Context, now mono.Time) {
 	l.mu.Lock()
 	due, fence := l.dueFirstRows(now), l.duty.Fence
-	if len(due) == 0 || l.writingFirst {
+	if len(due) == 0 || l.writingFirstRows {
 		l.mu.Unlock()
 		return
 	}
-	l.writingFirst = true
+	l.writingFirstRows = true
 	l.mu.Unlock()
 	go func() {
 		l.writeFirstRows(ctx, due, fence)
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.writingFirst = false
+		l.writingFirstRows = false
 	}()
 }
 
-// dueFirstRows lists the groups without a row whose row this VM is to write now.
+// dueFirstRows lists the groups without a row for which this VM should write one now.
 func (l *Lead) dueFirstRows(now mono.Time) []topology.GroupID {
-	if n := len(l.Directory.VMs()); n != l.vmsKnown {
-		l.vmsKnown, l.vmsChanged = n, now
+	if n := len(l.Directory.VMs()); n != l.vmCount {
+		l.vmCount, l.vmCountChanged = n, now
 	}
 	if l.leaving || l.storeSeen == 0 {
 		return nil
@@ -56,10 +58,10 @@
 			continue
 		}
 		if wait < 0 {
-			wait = l.firstWait()
+			wait = l.firstRowWait()
 		}
 		seen := l.firstSeen[group]
-		settled := min(max(seen, l.vmsChanged), seen.Add(firstSettle))
+		settled := min(max(seen, l.vmCountChanged), seen.Add(firstRowSettleTime))
 		if now.Sub(max(settled, l.duty.seen)) >= wait {
 			due = append(due, group)
 		}
@@ -67,34 +69,34 @@
 	return due
 }
 
-// firstWait is how long this VM waits before it writes first rows. The holder of the duty
-// writes them; while nobody has the duty, the first VM by rank takes it.
-func (l *Lead) firstWait() time.Duration {
+// firstRowWait returns how long this VM waits before it writes first rows. The holder of the duty
+// writes them; while nobody holds the duty, the first VM by rank claims it.
+func (l *Lead) firstRowWait() time.Duration {
 	switch {
-	case l.duty.Holder == l.self.ID: // Also if an earlier start of this VM has it.
-		return firstDelay
+	case l.duty.Holder == l.self.ID: // Also if an earlier incarnation of this VM holds it.
+		return firstRowDelay
 	case l.duty.Holder != "":
-		return firstDelay + firstGrace + l.delay("")
+		return firstRowDelay + dutyHolderGrace + l.takeoverDelay("")
 	}
-	return firstDelay + l.delay("")
+	return firstRowDelay + l.takeoverDelay("")
 }
 
-// writeFirstRows writes rows under the duty to promote, so that one VM writes them all: groups of several
-// coordinators would go from one to the other until all are at one.
+// writeFirstRows writes rows as the holder of the promotion duty, so that one VM writes them all:
+// groups with different coordinators would be handed over until one VM coordinates them all.
 func (l *Lead) writeFirstRows(ctx context.Context, groups []topology.GroupID, fence uint64) {
-	if !l.takeDutyForFirstRows(ctx, fence) {
-		wait.For(ctx, firstDelay)
+	if !l.claimDutyForFirstRows(ctx, fence) {
+		wait.For(ctx, firstRowDelay)
 		return
 	}
 	rows := make([]*lease.Row, len(groups))
 	var done sync.WaitGroup
 	for i, group := range groups {
-		primary, ok := l.selfStyledPrimary(group)
+		primary, ok := l.selfReportedPrimary(group)
 		if !ok {
 			continue
 		}
 		done.Add(1)
-		if !l.start(group, func() {
+		if !l.startChange(group, func() {
 			defer done.Done()
 			rows[i] = l.firstRow(ctx, group, primary)
 		}) {
@@ -108,23 +110,25 @@
 			written = append(written, row)
 		}
 	}
-	l.notify(written...) // One message of all: each is answered by all VMs.
+	l.notify(written...) // One message for all groups, as every VM answers each message.
 	if len(written) == 0 {
-		wait.For(ctx, firstDelay)
+		wait.For(ctx, firstRowDelay)
 	}
 }
 
-// takeDutyForFirstRows reports whether this VM has the duty, and takes it if it is still as it was when
-// this VM's turn came: nobody's, or of a VM that has left the first rows unwritten.
+// claimDutyForFirstRows reports whether this VM holds the duty. It claims the duty if the fence has
+// not changed since this VM's turn came, that is, if nobody held it or its holder left the first
+// rows unwritten.
 //
-// A holder that has just got it is left alone, or the VMs would claim the duty from each other for good.
-func (l *Lead) takeDutyForFirstRows(ctx context.Context, fence uint64) bool {
+// The duty is not taken from a VM that has just received it, or the VMs would claim it from each
+// other forever.
+func (l *Lead) claimDutyForFirstRows(ctx context.Context, fence uint64) bool {
 	if err := l.readDecisions(ctx); err != nil {
 		l.Log.Info("event=duty_not_claimed", "error", err)
 		return false
 	}
 	l.mu.Lock()
-	ours, present := l.dutyIsOurs(), l.duty
+	ours, present := l.holdsDuty(), l.duty
 	l.mu.Unlock()
 	switch {
 	case ours:
@@ -139,7 +143,7 @@
 	return true
 }
 
-func (l *Lead) selfStyledPrimary(group topology.GroupID) (topology.Target, bool) {
+func (l *Lead) selfReportedPrimary(group topology.GroupID) (topology.Target, bool) {
 	for _, t := range l.Directory.TargetsOf(group) {
 		if t.SaysPrimary {
 			return t.Target, true
@@ -148,11 +152,11 @@
 	return topology.Target{}, false
 }
 
-// firstRow writes a group's first row and returns it, or nil.
+// firstRow writes a group's first row and returns it, or nil if that failed.
 func (l *Lead) firstRow(ctx context.Context, group topology.GroupID, primary topology.Target) *lease.Row {
 	status, err := l.status(ctx, primary)
 	if err != nil || !status.Primary {
-		l.Log.Info("event=first_row_put_off", "group", group, "primary", primary.ID, "error", err)
+		l.Log.Info("event=first_row_deferred", "group", group, "primary", primary.ID, "error", err)
 		return nil
 	}
 	row := &lease.Row{
--- a/internal/lead/firstrow_test.go
+++ b/internal/lead/firstrow_test.go
@@ -12,11 +12,11 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Guards against groups that are scattered from the start, and then change hands: one VM writes all
-// first rows.
+// Guards against groups that start with different coordinators and are then handed over: one VM
+// writes all first rows.
 func TestOneVMWritesAllFirstRows(t *testing.T) {
 	const groups = 12
-	c := startClusterAlone(t, 6, 400*time.Millisecond)
+	c := startIsolatedCluster(t, 6, 400*time.Millisecond)
 	for _, v := range c.vms {
 		for i := range groups {
 			id := topology.TargetID(fmt.Sprintf("t%d", i))
@@ -49,8 +49,8 @@
 	}
 }
 
-// Guards against a duty that goes from VM to VM for good: its holder has ended before it wrote the first
-// rows, and it takes more than one turn until one of the others has it.
+// Guards against VMs that claim the duty from each other forever: its holder has ended before it
+// wrote the first rows, and it takes another VM more than one attempt to claim the duty.
 func TestTheFirstRowsAreWrittenThoughTheHolderOfTheDutyIsGone(t *testing.T) {
 	c := newCluster(t)
 	raw := []byte(`{"holder":"gone","incarnation":1,"fence":7}`)
@@ -65,6 +65,6 @@
 	}
 	var duty struct{ Fence uint64 }
 	if err := json.Unmarshal(rows.Rows[0].Value, &duty); err != nil || duty.Fence > 9 {
-		t.Fatalf("the duty went from VM to VM: %s %v", rows.Rows[0].Value, err)
+		t.Fatalf("the duty changed hands repeatedly: %s %v", rows.Rows[0].Value, err)
 	}
 }
--- a/internal/lead/fuzz_test.go
+++ b/internal/lead/fuzz_test.go
@@ -6,12 +6,13 @@
 	"github.com/buckthornshore/buckthornshore/pkg/quota"
 )
 
-// FuzzMessage reads what may come as a datagram: whatever it is, it is refused or can be sent on as it was read.
+// FuzzMessage decodes arbitrary datagrams: each is either rejected or can be encoded and decoded
+// again.
 func FuzzMessage(f *testing.F) {
 	for _, m := range []*message{
 		{Kind: renewal, From: "vm-1", Incarnation: 7, Sequence: 3, Digest: 9, Usage: []quota.Usage{{Customer: 5, Offered: 2, Admitted: 1}}},
-		{Kind: promise, From: "vm-1", Positions: []told{{AgeMS: 5, Term: 1, Index: 77}}, Quota: &quota.Answer{Near: []quota.Tag{5}}},
-		{Kind: notice, Groups: []part{{Group: "g", Row: rowNumber(3)}}},
+		{Kind: promise, From: "vm-1", Positions: []positionSample{{AgeMS: 5, Term: 1, Index: 77}}, Quota: &quota.Answer{Near: []quota.Tag{5}}},
+		{Kind: notice, Groups: []groupEntry{{Group: "g", Row: rowNumber(3)}}},
 		{Kind: warning, Near: []quota.Tag{1, 2}},
 	} {
 		raw, err := encode(m)
--- a/internal/lead/judge_test.go
+++ b/internal/lead/judge_test.go
@@ -11,8 +11,8 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Guards against a healthy primary that is replaced for what one VM of many says: before callers come
-// nobody else reports.
+// Guards against a healthy primary that is replaced because of the report of one VM among many:
+// before any callers connect, no other VM reports.
 func TestOneVMOfManyDoesNotReplaceAPrimary(t *testing.T) {
 	for _, c := range []struct {
 		vms, failing int
@@ -38,35 +38,35 @@
 			l.reports["g"][vmNumber(i).ID] = report{at: clock.Now(), target: "a", failing: time.Second}
 		}
 		if got := l.hasFailed(row, clock.Now()); got != c.want {
-			t.Errorf("%d of %d VMs fail there, and no other reports: replaced %v", c.failing, c.vms, got)
+			t.Errorf("the primary fails for %d of %d VMs, and no others report: replaced %v", c.failing, c.vms, got)
 		}
 	}
 }
 
-// Guards against a failed primary that most VMs vouch for: each sends it little, and had its last answer
-// before it failed.
-func TestAnAnswerOfBeforeIsNoWordForThePrimary(t *testing.T) {
-	_, vm, clock := pair(1)
+// Guards against a failed primary that most VMs report as reached: each sends it few requests and
+// got its last answer before the failure.
+func TestAnOldAnswerDoesNotCountAsReached(t *testing.T) {
+	_, vm, clock := newPair(1)
 	answered := clock.Now()
 	for _, c := range []struct {
 		later time.Duration
 		want  bool
 	}{{later: 100 * time.Millisecond, want: true}, {later: failedAfter + renewPeriod, want: false}} {
 		clock.T = answered.Add(c.later)
-		vm.Health = lastAnswered{at: answered}
-		if got := vm.partOf(groupNumber(0), rowNumber(0)).Reached; got != c.want {
+		vm.Health = fixedAnswerTime{at: answered}
+		if got := vm.entryFor(groupNumber(0), rowNumber(0)).Reached; got != c.want {
 			t.Errorf("%v after the last answer: reached %v", c.later, got)
 		}
 	}
 }
 
-// lastAnswered is a VM whose targets last answered at a moment.
-type lastAnswered struct{ at mono.Time }
+// fixedAnswerTime is the health of targets that last answered at a fixed time.
+type fixedAnswerTime struct{ at mono.Time }
 
-func (l lastAnswered) Load(topology.TargetID) (target.Load, bool) {
+func (l fixedAnswerTime) Load(topology.TargetID) (target.Load, bool) {
 	return target.Load{LastAnswer: l.at}, true
 }
 
-func (lastAnswered) Starved() []topology.TargetID { return nil }
+func (fixedAnswerTime) Starved() []topology.TargetID { return nil }
 
-func (lastAnswered) Yield([]topology.TargetID) {}
+func (fixedAnswerTime) Yield([]topology.TargetID) {}
--- a/internal/lead/lagging.go
+++ b/internal/lead/lagging.go
@@ -9,75 +9,76 @@
 )
 
 const (
-	// replicasLag is why a primary is replaced that carries all reads of its group, since the
-	// replicas hold its log and are far behind in applying it.
+	// replicasLag is the reason to replace a primary that serves all reads of its group
+	// because the replicas hold its log but are far behind in applying it.
 	replicasLag = "replicas_lag"
-	// saturatedShare of the reporting VMs must have statements refused by the primary: a
-	// burst that it refuses to some is over sooner than a change of primary.
+	// saturatedShare is the share of the reporting VMs whose statements the primary must refuse. A
+	// burst that it refuses to fewer VMs is over sooner than a change of the primary.
 	saturatedShare = 0.3
-	// lagWorthMoving is how far behind all replicas must be: beyond what classes accept, and several
-	// times what callers wait for a change of primary.
-	lagWorthMoving = 4 * time.Second
-	// lagLook is how often the replicas are asked, and lagLooks how many looks in a row must
-	// find them behind.
-	lagLook  = time.Second
-	lagLooks = 2
-	// lagRests is how long a group is left alone after such a change, and twice as long after
-	// each further one, up to longestLagRests: where replicas lag for good, the new ones soon
-	// do as well, and callers would wait for one change after the other.
-	lagRests        = 20 * time.Second
-	longestLagRests = 20 * time.Minute
+	// minLagForChange is how far behind all replicas must be: more than any class accepts, and
+	// several times as long as callers wait for a change of the primary.
+	minLagForChange = 4 * time.Second
+	// lagCheckPeriod is how often the replicas are queried, and lagChecks how many consecutive
+	// checks must find them behind.
+	lagCheckPeriod = time.Second
+	lagChecks      = 2
+	// lagChangePause is the minimum time between two such changes in a group. It doubles with each
+	// further change, up to longestLagChangePause: where replicas lag permanently, the new ones
+	// soon lag as well, and callers would wait for one change after another.
+	lagChangePause        = 20 * time.Second
+	longestLagChangePause = 20 * time.Minute
 )
 
-// lagging is what is known of a group's replicas.
-type lagging struct {
+// lagState tracks how far a group's replicas lag behind.
+type lagState struct {
 	asked mono.Time
-	// looks in a row that found all replicas far behind.
-	looks int
-	// moved is when the primary was last changed for it, and rests for how long it stays.
-	moved mono.Time
-	rests time.Duration
+	// laggingChecks is the number of consecutive checks that found all replicas far behind.
+	laggingChecks int
+	// changedAt is when the primary was last changed because of the lag, and pause how long it then
+	// stays.
+	changedAt mono.Time
+	pause     time.Duration
 }
 
-// lookAtReplicas asks the replicas of a group whose primary is saturated how far behind they
-// are. It answers the load in which they lag for tens of seconds: the primary alone serves all
-// reads then, and refuses a third of them. A replica that holds the whole log becomes a primary
-// without lag, and the present one a replica that has applied everything: two of three targets
-// serve reads again.
-func (l *Lead) lookAtReplicas(ctx context.Context, group topology.GroupID, now mono.Time) {
+// checkReplicaLag asks the replicas of a group with a saturated primary how far they are behind. It
+// handles a load under which replicas lag for tens of seconds: the primary alone then serves all
+// reads and refuses a third of them. A replica that holds the whole log becomes a primary without
+// lag, and the present primary a replica that has applied everything, so two of three targets serve
+// reads again.
+func (l *Lead) checkReplicaLag(ctx context.Context, group topology.GroupID, now mono.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	row, g := l.coordinator.Row(group), l.lagging[group]
-	if row == nil || !row.Open() || l.working[group] || now.Sub(g.asked) < lagLook {
+	row, g := l.coordinator.Row(group), l.lagState[group]
+	if row == nil || !row.Open() || l.changing[group] || now.Sub(g.asked) < lagCheckPeriod {
 		return
 	}
-	if !l.saturated(group, row.Primary, now) || g.moved != 0 && now.Sub(g.moved) < g.rests {
-		g.looks = 0
-		l.lagging[group] = g
+	if !l.saturated(group, row.Primary, now) || g.changedAt != 0 && now.Sub(g.changedAt) < g.pause {
+		g.laggingChecks = 0
+		l.lagState[group] = g
 		return
 	}
 	g.asked = now
-	l.lagging[group] = g
+	l.lagState[group] = g
 	replicas := l.replicasOf(group, row.Primary)
 	go func() {
 		far := l.allFarBehind(ctx, replicas)
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		g := l.lagging[group]
-		g.looks++
+		g := l.lagState[group]
+		g.laggingChecks++
 		if !far {
-			g.looks = 0
+			g.laggingChecks = 0
 		}
-		l.lagging[group] = g
-		l.Log.Info("event=replicas_looked_at", "group", group, "far_behind", far, "looks", g.looks)
+		l.lagState[group] = g
+		l.Log.Info("event=replicas_looked_at", "group", group, "far_behind", far, "checks", g.laggingChecks)
 	}()
 }
 
-// saturated reports whether enough VMs have statements refused by the group's primary.
+// saturated reports whether the primary refuses statements of enough VMs.
 func (l *Lead) saturated(group topology.GroupID, primary topology.TargetID, now mono.Time) bool {
 	saturated, all := 0, 0
 	for _, r := range l.reports[group] {
-		if r.target != primary || now.Sub(r.at) > reportAge {
+		if r.target != primary || now.Sub(r.at) > maxReportAge {
 			continue
 		}
 		all++
@@ -102,22 +103,22 @@
 func (l *Lead) allFarBehind(ctx context.Context, replicas []topology.Target) bool {
 	for _, t := range replicas {
 		s, err := l.status(ctx, t)
-		if err != nil || s.Primary || s.Lag < lagWorthMoving {
+		if err != nil || s.Primary || s.Lag < minLagForChange {
 			return false
 		}
 	}
 	return len(replicas) > 0
 }
 
-// replicasLag reports whether the group's primary is to be changed since all replicas lag; the
-// caller then does so. While promises of an earlier coordinator may stand, the change would
-// keep callers waiting for longer than it is worth.
+// replicasLag reports whether to change the group's primary because all replicas lag; the caller
+// then changes it. While an earlier coordinator's promises may still be valid, the change would
+// make callers wait for longer than it is worth.
 func (l *Lead) replicasLag(group topology.GroupID, now mono.Time) bool {
-	g := l.lagging[group]
-	if g.looks < lagLooks || !l.coordinator.Settled(group, now) {
+	g := l.lagState[group]
+	if g.laggingChecks < lagChecks || !l.coordinator.Settled(group, now) {
 		return false
 	}
-	g.looks, g.moved, g.rests = 0, now, min(longestLagRests, max(lagRests, 2*g.rests))
-	l.lagging[group] = g
+	g.laggingChecks, g.changedAt, g.pause = 0, now, min(longestLagChangePause, max(lagChangePause, 2*g.pause))
+	l.lagState[group] = g
 	return true
 }
--- a/internal/lead/lagging_test.go
+++ b/internal/lead/lagging_test.go
@@ -6,13 +6,14 @@
 )
 
 // Both replicas hold the whole log and are ten seconds behind in applying it. The primary serves
-// all reads of its group and refuses a third of them, for as long as that lasts. One replica is
-// made the primary, with all that was acknowledged; once, though the new one is as busy at first.
-func TestAPrimaryIsRelievedOfReplicasThatLag(t *testing.T) {
+// all reads of its group and refuses a third of them for as long as that lasts. One replica becomes
+// the primary, with everything that was acknowledged. This happens only once, although the new
+// primary is saturated at first as well.
+func TestAPrimaryIsReplacedWhenAllReplicasLag(t *testing.T) {
 	c := startCluster(t, 3)
-	c.settle()
+	c.awaitRights()
 	c.databases.mu.Lock()
-	c.databases.index["a"] = 12 // Ahead of the replicas by what is on its way.
+	c.databases.index["a"] = 12 // Ahead of the replicas by writes in flight.
 	c.databases.lag["b"], c.databases.lag["c"] = 10*time.Second, 10*time.Second
 	c.databases.saturated["a"], c.databases.saturated["b"] = true, true
 	c.databases.mu.Unlock()
@@ -26,11 +27,11 @@
 	}
 }
 
-// One replica lags, and the other serves the group's reads beside the primary. A change of
-// primary would keep callers waiting for nothing.
+// One replica lags, and the other one serves the group's reads beside the primary. A change of the
+// primary would make callers wait without any benefit.
 func TestAPrimaryStaysWhileAReplicaKeepsUp(t *testing.T) {
 	c := startCluster(t, 3)
-	c.settle()
+	c.awaitRights()
 	c.databases.mu.Lock()
 	c.databases.lag["b"] = 10 * time.Second
 	c.databases.saturated["a"] = true
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -1,6 +1,5 @@
-// Package lead carries out what pkg/lease decides: it renews this VM's rights,
-// coordinates groups, takes over from coordinators that fail, and replaces
-// primaries.
+// Package lead carries out the decisions of pkg/lease: it renews this VM's rights, coordinates
+// groups, takes over from failed coordinators, and replaces primaries.
 package lead
 
 import (
@@ -23,60 +22,67 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Table is the system's own table in the metadata store.
+// Table is the proxy's own table in the metadata store.
 const Table = "buckthornshore"
 
 // Keys in the table.
 const (
 	vmPrefix    = "vm/"
 	groupPrefix = "group/"
-	// removalKey is the row whose version shows each removal of a VM's registration.
+	// removalKey is the key of the row whose version changes whenever a VM's registration is
+	// removed.
 	removalKey = "group-removal"
 )
 
-// decisionRows is the range of all rows but the VMs' registrations: the duty and the groups. It is
-// what a decision rests on, and does not grow with the number of VMs.
+// decisionRows is the range of all rows except the VMs' registrations: the promotion duty and the
+// groups. Decisions are based on these rows only, and their number does not grow with the number of
+// VMs.
 var decisionRows = metastore.Range{From: dutyKey, To: vmPrefix}
 
 const (
 	tickPeriod = 50 * time.Millisecond
-	// renewPeriod leaves room for two lost renewals within a right.
+	// renewPeriod allows two consecutive renewals to be lost before a right expires.
 	renewPeriod = 250 * time.Millisecond
-	// readAhead: a right that ends sooner and was not renewed is kept up by
-	// readings of the store.
+	// readAhead is the remaining lifetime of a right below which, without a renewal, it is extended
+	// by reading the store.
 	readAhead = 350 * time.Millisecond
-	// readPeriod between two such readings; it doubles with each that fails, up to
-	// longestReadPeriod: with the store out each VM without a right asked it three times a second.
+	// readPeriod is the time between two such reads. It doubles with each failed read, up to
+	// longestReadPeriod: during a store outage each VM without a right queried the store three
+	// times a second.
 	readPeriod        = 300 * time.Millisecond
 	longestReadPeriod = 1200 * time.Millisecond
-	// readGrace is how long after a new row was adopted the coordinator's promise is waited for
-	// before the store is read: it is asked for at once. Without it every VM would read the store
-	// at each change of a row.
+	// readGrace is how long after adopting a new row a VM waits for the coordinator's promise, which
+	// it requests at once, before it reads the store. Without the wait every VM would read the
+	// store at each change of a row.
 	readGrace = 100 * time.Millisecond
-	// wantedFor is how long rights are kept up after a caller needed one, before the first promise.
-	wantedFor = 2 * time.Second
-	// missingRowPeriod is how often the store is read for the row of a group that this VM knows
-	// no row of. The VM that wrote it told of it, but a datagram may be lost.
+	// rightDemandTTL is how long rights are kept renewed after a caller needed one, until the first
+	// promise arrives.
+	rightDemandTTL = 2 * time.Second
+	// missingRowPeriod is how often the store is read for a group whose row this VM does not know.
+	// The VM that wrote the row sent a notice, but a datagram may be lost.
 	missingRowPeriod = 3 * time.Second
-	// CoordinatorWatch is how long a coordinator's watches wait: each answer shows that
-	// its rows are still its own, and the other VMs rely on what it brings.
+	// CoordinatorWatch is the wait time of a coordinator's watches. Each answer shows that the
+	// coordinator's rows are unchanged, and the other VMs rely on the changes that it relays.
 	CoordinatorWatch = 500 * time.Millisecond
-	// coordinatorRest is how long a coordinator's watch rests after a change: with a watch
-	// and a slow store's answer it is less than a coordinator promises by one reading.
-	coordinatorRest = 200 * time.Millisecond
-	// longestWatch of the rows: changes of them are told by their coordinator as well.
+	// coordinatorWatchPause is how long a coordinator pauses its watch after a change. Together
+	// with one watch and a slow answer of the store, it stays below the time for which one read
+	// lets a coordinator promise.
+	coordinatorWatchPause = 200 * time.Millisecond
+	// longestWatch is the longest wait time of a watch of the rows. Their coordinator announces
+	// changes as well.
 	longestWatch = 8 * time.Second
 )
 
-// ErrNotPromotable is a platform's refusal to promote: the target does not run.
+// ErrNotPromotable is returned when the platform refuses a promotion because the target is not
+// running.
 var ErrNotPromotable = errors.New("lead: the target can't be promoted")
 
-// Promotions orders the platform to promote.
+// Promotions sends promotion orders to the platform.
 type Promotions interface {
 	Promote(ctx context.Context, group topology.GroupID, id topology.TargetID, holder topology.VMID, fence uint64) error
 }
 
-// Control commands targets over connections of its own.
+// Control sends commands to targets over connections of its own.
 type Control interface {
 	Status(ctx context.Context, t topology.Target) (target.Status, error)
 	StopReceiving(ctx context.Context, t topology.Target, term uint64) (target.Status, error)
@@ -84,137 +90,141 @@
 	StepDown(ctx context.Context, t topology.Target, term uint64) (target.Status, error)
 }
 
-// Health tells how this VM finds a target, and shares the targets' connections with the
-// other VMs.
+// Health reports the state of targets as this VM observes it, and shares the targets' connections
+// with the other VMs.
 type Health interface {
 	Load(id topology.TargetID) (target.Load, bool)
 	Starved() []topology.TargetID
 	Yield(ids []topology.TargetID)
 }
 
-// Options of New.
+// Options are the parameters of New.
 type Options struct {
 	Directory  *directory.Directory
 	Store      metastore.Store
 	Control    Control
 	Promotions Promotions
 	Health     Health
-	// Limits of customers at this VM; nil: there are none.
+	// Limits holds the customers' limits at this VM; nil means no limits.
 	Limits    *limit.Keeper
 	Transport *Transport
 	Clock     mono.Clock
 	Log       *slog.Logger
 }
 
-// Lead keeps this VM's rights and its part in choosing primaries. Safe for
-// concurrent use.
+// Lead maintains this VM's rights and takes part in choosing primaries. It is safe for concurrent
+// use.
 type Lead struct {
 	Options
 	self topology.VM
 
-	mu          sync.Mutex
-	holder      *lease.Holder
-	coordinator *lease.Coordinator
-	allocator   *quota.Allocator
-	versions    map[topology.GroupID]uint64 // of the rows in the store
-	reports     map[topology.GroupID]map[topology.VMID]report
-	renewals    map[topology.VMID]*exchange
-	answers     map[topology.VMID]answers
-	silences    map[topology.VMID]*silence
-	working     map[topology.GroupID]bool // a change of this VM is under way
-	duty        dutyState
-	placing     placing
-	missing     map[topology.GroupID]mono.Time
-	lagging     map[topology.GroupID]lagging
-	firstSeen   map[topology.GroupID]mono.Time
-	// writingFirst: first rows are being written. vmsKnown is how many VMs were last known, and
-	// vmsChanged when their number changed.
-	writingFirst bool
-	vmsKnown     int
-	vmsChanged   mono.Time
-	heard        map[topology.VMID]mono.Time // when each VM's last message came
-	// listening is since when a coordinator listens for each VM.
-	listening map[topology.VMID]mono.Time
-	frozen    map[topology.GroupID]frozenAt
-	// takenFrom is when this VM last took groups over from a coordinator.
-	takenFrom map[topology.VMID]mono.Time
-	// gone are the starts of VMs that said that they leave.
-	gone      map[topology.VMID]topology.Incarnation
-	starved   map[topology.TargetID]mono.Time // until when a VM is short of connections
-	storeSeen mono.Time
-	// positions are shared with the other VMs, and samples those that this VM tells; nil: none are.
+	mu                  sync.Mutex
+	holder              *lease.Holder
+	coordinator         *lease.Coordinator
+	allocator           *quota.Allocator
+	versions            map[topology.GroupID]uint64 // versions of the groups' rows in the store
+	reports             map[topology.GroupID]map[topology.VMID]report
+	renewals            map[topology.VMID]*renewalState
+	coordinatorState    map[topology.VMID]coordinatorState
+	inquiries           map[topology.VMID]*inquiry
+	changing            map[topology.GroupID]bool // groups that this VM is currently changing
+	duty                dutyState
+	relocation          relocation
+	primaryMissingSince map[topology.GroupID]mono.Time
+	lagState            map[topology.GroupID]lagState
+	firstSeen           map[topology.GroupID]mono.Time
+	// writingFirstRows is set while first rows are being written. vmCount is the last known number
+	// of VMs, and vmCountChanged when that number last changed.
+	writingFirstRows bool
+	vmCount          int
+	vmCountChanged   mono.Time
+	lastMessage      map[topology.VMID]mono.Time // when each VM's last message arrived
+	// listeningSince is when this coordinator started to expect messages from each VM.
+	listeningSince map[topology.VMID]mono.Time
+	frozen         map[topology.GroupID]rowConfirmation
+	// lastTakeover is when this VM last took groups over from each coordinator.
+	lastTakeover map[topology.VMID]mono.Time
+	// leavingVMs holds the incarnations of VMs that announced that they are leaving.
+	leavingVMs map[topology.VMID]topology.Incarnation
+	starved    map[topology.TargetID]mono.Time // until when some VM counts as short of connections
+	storeSeen  mono.Time
+	// positions are shared with the other VMs, nil if none are; samples holds those that this VM
+	// sends.
 	positions Positions
 	samples   map[topology.GroupID]routing.Sample
-	// storeBack is when a reading of the store last succeeded after others had failed.
-	storeBack mono.Time
-	// storeHeard is when a coordinator last told that the store answers it: meanwhile
-	// this VM asks the store for nothing.
-	storeHeard mono.Time
-	reading    bool
-	lastRead   mono.Time
-	// probe: the store is to be read, to find out whether it answers.
-	probe bool
-	// registered is a version of the store at which this VM was registered; 0: none is known.
+	// storeRegained is when a read of the store last succeeded after earlier ones had failed.
+	storeRegained mono.Time
+	// storeReported is when a coordinator last reported that it reaches the store. As long as it
+	// does, this VM does not query the store itself.
+	storeReported mono.Time
+	reading       bool
+	lastRead      mono.Time
+	// probeStore requests a read of the store, to find out whether it answers.
+	probeStore bool
+	// registered is a version of the store at which this VM was registered; 0 means none is
+	// known.
 	registered uint64
-	// readFailures counts the readings in a row that failed.
+	// readFailures is the number of consecutive failed reads.
 	readFailures int
-	// adopted is when a new row was last adopted.
-	adopted mono.Time
-	// promised: a coordinator has given a promise. wanted is when a caller last lacked a right.
-	promised bool
-	wanted   mono.Time
-	// connected is since when some right was held without a gap.
-	connected mono.Time
-	// cutSince is since when no right was held; cutTold: it was logged.
-	cutSince mono.Time
-	cutTold  bool
-	// outOfTouch: no right has been renewed for long.
+	// lastAdopted is when a new row was last adopted.
+	lastAdopted mono.Time
+	// promised is set once a coordinator has given a promise. rightWanted is when a caller last
+	// lacked a right.
+	promised    bool
+	rightWanted mono.Time
+	// connectedSince is the time since which this VM has held at least one right without a gap.
+	connectedSince mono.Time
+	// cutOffSince is the time since which this VM has held no right; cutOffLogged is set once that
+	// was logged.
+	cutOffSince  mono.Time
+	cutOffLogged bool
+	// outOfTouch is set when no right has been renewed recently enough; see inTouchMargin.
 	outOfTouch bool
 	leaving    bool
 	changed    chan struct{}
 }
 
-// exchange is the renewals to one coordinator.
-type exchange struct {
+// renewalState tracks the renewals sent to one coordinator.
+type renewalState struct {
 	sequence uint64
 	sent     mono.Time
-	// sentAt holds the instants of the last renewals by sequence.
+	// sentAt holds the send times of the latest renewals by sequence number.
 	sentAt map[uint64]mono.Time
 }
 
-// New makes a Lead that holds no right. The VM must have been registered in the store.
+// New returns a Lead that holds no right. The VM must already be registered in the store.
 func New(o Options) *Lead {
 	self := o.Directory.Self()
 	return &Lead{
-		Options:     o,
-		self:        self,
-		holder:      lease.NewHolder(),
-		coordinator: lease.NewCoordinator(self.ID, self.Incarnation),
-		allocator:   quota.NewAllocator(),
-		versions:    map[topology.GroupID]uint64{},
-		reports:     map[topology.GroupID]map[topology.VMID]report{},
-		renewals:    map[topology.VMID]*exchange{},
-		answers:     map[topology.VMID]answers{},
-		silences:    map[topology.VMID]*silence{},
-		working:     map[topology.GroupID]bool{},
-		missing:     map[topology.GroupID]mono.Time{},
-		lagging:     map[topology.GroupID]lagging{},
-		firstSeen:   map[topology.GroupID]mono.Time{},
-		heard:       map[topology.VMID]mono.Time{},
-		listening:   map[topology.VMID]mono.Time{},
-		frozen:      map[topology.GroupID]frozenAt{},
-		takenFrom:   map[topology.VMID]mono.Time{},
-		gone:        map[topology.VMID]topology.Incarnation{},
-		starved:     map[topology.TargetID]mono.Time{},
-		changed:     make(chan struct{}),
+		Options:             o,
+		self:                self,
+		holder:              lease.NewHolder(),
+		coordinator:         lease.NewCoordinator(self.ID, self.Incarnation),
+		allocator:           quota.NewAllocator(),
+		versions:            map[topology.GroupID]uint64{},
+		reports:             map[topology.GroupID]map[topology.VMID]report{},
+		renewals:            map[topology.VMID]*renewalState{},
+		coordinatorState:    map[topology.VMID]coordinatorState{},
+		inquiries:           map[topology.VMID]*inquiry{},
+		changing:            map[topology.GroupID]bool{},
+		primaryMissingSince: map[topology.GroupID]mono.Time{},
+		lagState:            map[topology.GroupID]lagState{},
+		firstSeen:           map[topology.GroupID]mono.Time{},
+		lastMessage:         map[topology.VMID]mono.Time{},
+		listeningSince:      map[topology.VMID]mono.Time{},
+		frozen:              map[topology.GroupID]rowConfirmation{},
+		lastTakeover:        map[topology.VMID]mono.Time{},
+		leavingVMs:          map[topology.VMID]topology.Incarnation{},
+		starved:             map[topology.TargetID]mono.Time{},
+		changed:             make(chan struct{}),
 	}
 }
 
-// Run works until ctx ends.
+// Run runs the Lead until ctx ends.
 func (l *Lead) Run(ctx context.Context) {
 	watcher := &directory.Watcher{
 		Store: l.Store, Table: Table, Clock: l.Clock, Log: l.Log,
-		All: l.takeAll, Change: l.takeChange, Seen: l.storeAnswered, Wait: l.watchWait,
+		All: l.applyListing, Change: l.applyChange, Seen: l.storeAnswered, Wait: l.watchWait,
 		Rest: l.WatchRest, Feed: directory.OwnRows, Relay: l.Directory.Relay(),
 	}
 	go watcher.Run(ctx)
@@ -226,14 +236,14 @@
 		select {
 		case <-ticker.C:
 		case <-l.urgentUsage():
-			l.hurryUsage()
+			l.expediteUsage()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// watchWait shortens the watch of a coordinator.
+// watchWait returns the wait time of a watch, which is shorter for a coordinator.
 func (l *Lead) watchWait() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -243,35 +253,35 @@
 	return l.Directory.WatchWait(longestWatch)
 }
 
-// WatchRest is how long watches rest after a change. A coordinator's is short: its own
-// readings are what its promises rest on while it hears too few witnesses, and what it
-// learns of targets it tells the others.
+// WatchRest returns how long watches pause after a change. A coordinator's pause is short: as long
+// as too few witnesses answer it, its promises rely on its own reads, and it relays the changes of
+// targets to the other VMs.
 func (l *Lead) WatchRest() time.Duration {
-	rest := l.Directory.ChangeRest()
+	pause := l.Directory.ChangeRest()
 	if l.Coordinates() {
-		return min(rest, coordinatorRest)
+		return min(pause, coordinatorWatchPause)
 	}
-	return rest
+	return pause
 }
 
-// Coordinates reports whether this VM coordinates a group.
+// Coordinates reports whether this VM coordinates any group.
 func (l *Lead) Coordinates() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.coordinator.Groups()) > 0
 }
 
-// storeLost reports whether the store has not answered for longer than a watch takes.
+// storeLost reports whether the store has not answered for longer than a watch may take.
 func (l *Lead) storeLost(now mono.Time) bool {
 	wait := CoordinatorWatch
 	if len(l.coordinator.Groups()) == 0 {
 		wait = l.Directory.WatchWait(longestWatch)
 	}
-	return now.Sub(max(l.storeSeen, l.storeHeard)) > wait+storeLostSlack
+	return now.Sub(max(l.storeSeen, l.storeReported)) > wait+storeLostSlack
 }
 
-// Leave gives up this VM's part as a coordinator: it answers no renewal's judgement
-// any more, and the others take over.
+// Leave hands this VM's groups over to another VM before it shuts down. From then on it starts no
+// replacement of a primary, and its answers announce that it is leaving.
 func (l *Lead) Leave(ctx context.Context) {
 	l.mu.Lock()
 	l.leaving = true
@@ -280,8 +290,8 @@
 	if len(groups) == 0 {
 		return
 	}
-	// The duty goes first. Its next holder reads the store as it gets its first group; reading
-	// that this VM still has the duty, it handed the group back to the VM that leaves.
+	// The duty goes first: its next holder reads the store when it receives its first group. If it
+	// still read this VM as the holder, it would hand the group back to the leaving VM.
 	next := l.successor()
 	l.giveDuty(ctx, next)
 	for _, g := range groups {
@@ -295,7 +305,7 @@
 	return l.leaving
 }
 
-// Right returns the right that this VM has for the group's primary now.
+// Right returns this VM's current right for the group's primary.
 func (l *Lead) Right(group topology.GroupID) (lease.Right, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -306,27 +316,27 @@
 	now := l.Clock.Now()
 	r, ok := l.holder.Right(group, now)
 	if !ok {
-		l.wanted = now
+		l.rightWanted = now
 	}
 	return r, ok
 }
 
-// Confirm reports whether the right still stands.
+// Confirm reports whether the right is still valid.
 func (l *Lead) Confirm(r lease.Right) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.holder.Confirm(r, l.Clock.Now())
 }
 
-// Row returns the newest row known of a group, or nil.
+// Row returns the newest known row of a group, or nil.
 func (l *Lead) Row(group topology.GroupID) *lease.Row {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.holder.Row(group)
 }
 
-// Await returns the right for the group's primary, waiting for it until ctx ends. It
-// does not wait while this VM is cut off.
+// Await waits until this VM has the right for the group's primary or ctx ends. It returns at once
+// while this VM is cut off.
 func (l *Lead) Await(ctx context.Context, group topology.GroupID) (lease.Right, bool) {
 	for {
 		l.mu.Lock()
@@ -344,9 +354,10 @@
 	}
 }
 
-// Frozen returns the end of the group's log while its primary is being replaced and no
-// VM has a right, with when that was last heard: nothing is acknowledged meanwhile. A candidate that holds less than
-// the former primary may be given up, so what it holds is not the end before it leads.
+// Frozen returns the end of the group's log while its primary is being replaced and no VM has a
+// right, and when that was last confirmed: nothing is acknowledged meanwhile. A candidate that
+// holds less than the former primary may still be dropped, so its position is not the end of the
+// log until it leads.
 func (l *Lead) Frozen(group topology.GroupID) (position.Position, mono.Time, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -355,17 +366,17 @@
 	if row == nil || row.Open() || !row.Handover.Complete || at.version != row.Version {
 		return position.Position{}, 0, false
 	}
-	return row.Handover.End, at.heard, true
+	return row.Handover.End, at.confirmedAt, true
 }
 
-// frozenAt is when a version of a row was last confirmed by its coordinator.
-type frozenAt struct {
-	version uint64
-	heard   mono.Time
+// rowConfirmation is when the coordinator last confirmed a version of a row.
+type rowConfirmation struct {
+	version     uint64
+	confirmedAt mono.Time
 }
 
-// tell wakes those that wait for a right.
-func (l *Lead) tell() {
+// wakeWaiters wakes all callers that wait for a right.
+func (l *Lead) wakeWaiters() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
--- a/internal/lead/lead_test.go
+++ b/internal/lead/lead_test.go
@@ -10,11 +10,11 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// The primary dies. Callers' writes stop until the replica that received most leads,
-// with one order for it, and then every VM may acknowledge there.
+// The primary fails. Writes stop until the replica that has received the most leads, after a single
+// promotion order; then every VM may acknowledge there.
 func TestAFailedPrimaryIsReplaced(t *testing.T) {
 	c := startCluster(t, 3)
-	c.settle()
+	c.awaitRights()
 	c.databases.kill("a")
 	c.eventually(4*time.Second, "every VM has the right for b", func() bool { return c.allRight("b") })
 	if n := len(c.databases.orders); n != 1 || c.databases.orders[0].id != "b" {
@@ -26,20 +26,20 @@
 	}
 }
 
-// The platform promotes, but its answer is lost: the candidate's own status tells, and
-// nobody else is promoted.
+// The platform promotes, but its answer is lost. The candidate's own status shows the promotion,
+// and no other target is promoted.
 func TestAnUnansweredPromotionIsFollowedUp(t *testing.T) {
 	c := startCluster(t, 2)
-	c.settle()
-	c.databases.silent = true
+	c.awaitRights()
+	c.databases.answerLost = true
 	c.databases.kill("a")
 	c.eventually(5*time.Second, "every VM has the right for b", func() bool { return c.allRight("b") })
 }
 
-// The platform says that the chosen replica does not run: another one is chosen.
+// The platform reports that the chosen replica is not running, so another one is chosen.
 func TestARefusedCandidateIsDropped(t *testing.T) {
 	c := startCluster(t, 2)
-	c.settle()
+	c.awaitRights()
 	c.databases.mu.Lock()
 	c.databases.refused["b"] = true
 	c.databases.mu.Unlock()
@@ -48,11 +48,11 @@
 	c.eventually(8*time.Second, "every VM has the right for c", func() bool { return c.allRight("c") })
 }
 
-// The primary announces that it leaves, as in a release: it steps down first, so that
-// what it acknowledged is all at its successor.
+// The primary announces that it is leaving, as in a release. It steps down first, so that its
+// successor holds everything that it acknowledged.
 func TestALeavingPrimaryHandsOver(t *testing.T) {
 	c := startCluster(t, 3)
-	c.settle()
+	c.awaitRights()
 	c.databases.mu.Lock()
 	c.databases.index["a"] = 12 // Ahead of the replicas.
 	c.databases.mu.Unlock()
@@ -65,12 +65,12 @@
 	}
 }
 
-// The store is out for everybody: writes go on, by the coordinator's promises alone.
-func TestRightsOutlastTheStore(t *testing.T) {
+// During a store outage for all VMs, writes continue by the coordinator's promises alone.
+func TestRightsSurviveAStoreOutage(t *testing.T) {
 	c := startCluster(t, 3)
-	c.settle()
+	c.awaitRights()
 	for _, v := range c.vms {
-		v.store.shut(true)
+		v.store.setUnavailable(true)
 	}
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if !c.allRight("a") {
@@ -79,11 +79,11 @@
 	}
 }
 
-// The coordinator is killed and comes back: rights go on without a gap, by readings of
-// the store, until it or another VM has the group.
-func TestRightsOutlastTheCoordinator(t *testing.T) {
+// The coordinator is killed and restarted. Rights continue without a gap, by reads of the store,
+// until another VM has taken over the group.
+func TestRightsSurviveTheLossOfTheCoordinator(t *testing.T) {
 	c := startCluster(t, 4)
-	coordinator := c.settle()
+	coordinator := c.awaitRights()
 	c.stop(coordinator)
 	for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if !c.allRight("a") {
@@ -94,14 +94,14 @@
 		t.Fatal("nobody took over")
 	}
 	c.start(coordinator)
-	c.eventually(3*time.Second, "the VM that came back has the right", func() bool { return c.allRight("a") })
+	c.eventually(3*time.Second, "the restarted VM has the right", func() bool { return c.allRight("a") })
 }
 
-// The coordinator is gone for good, and then the primary dies. The one that took over
-// waits until the former one's promises have surely ended, and not much longer.
+// The coordinator is lost for good, and then the primary fails. The VM that took over waits until
+// the former coordinator's promises have ended for certain, and not much longer.
 func TestAPrimaryFailsAfterItsCoordinator(t *testing.T) {
 	c := startCluster(t, 4)
-	c.stop(c.settle())
+	c.stop(c.awaitRights())
 	time.Sleep(1500 * time.Millisecond)
 	c.databases.kill("a")
 	c.eventually(8*time.Second, "every VM has the right for b", func() bool { return c.allRight("b") })
@@ -110,24 +110,24 @@
 	}
 }
 
-// The store turns the coordinator away and serves the others. A primary that fails then
-// must not wait until the store takes the coordinator back.
+// The store refuses the coordinator and serves the other VMs. A replacement of a primary that fails
+// then must not wait until the store accepts the coordinator again.
 func TestACoordinatorWithoutTheStoreIsReplaced(t *testing.T) {
 	c := startCluster(t, 3)
-	coordinator := c.settle()
-	c.vms[coordinator].store.shut(true)
+	coordinator := c.awaitRights()
+	c.vms[coordinator].store.setUnavailable(true)
 	c.eventually(10*time.Second, "another coordinator", func() bool { return c.row().Coordinator != coordinator })
 	c.databases.kill("a")
 	c.eventually(8*time.Second, "every VM has the right for b", func() bool { return c.allRight("b") })
 }
 
-// A VM stops in order: its groups go to another one before it ends, and no VM loses its
-// right meanwhile.
+// A VM shuts down in an orderly way. Its groups are handed over to another VM before it ends, and
+// no VM loses its right meanwhile.
 func TestALeavingCoordinatorHandsOver(t *testing.T) {
 	c := startCluster(t, 3)
-	coordinator := c.settle()
-	time.Sleep(time.Second) // It hears the others.
-	c.databases.kill("a")   // It claims the duty, too.
+	coordinator := c.awaitRights()
+	time.Sleep(time.Second) // It receives the others' messages.
+	c.databases.kill("a")   // It claims the duty as well.
 	c.eventually(4*time.Second, "b leads", func() bool { return c.allRight("b") })
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -143,7 +143,7 @@
 	c.eventually(500*time.Millisecond, "every VM knows another coordinator", elsewhere)
 	for end := time.Now().Add(lease.Duration); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if !elsewhere() {
-			t.Fatal("the group came back to the VM that leaves")
+			t.Fatal("the group returned to the leaving VM")
 		}
 	}
 	c.stop(coordinator)
@@ -153,11 +153,11 @@
 	}
 }
 
-// All VMs lose power at once. With nothing on any of them the rows in the store are
-// enough to acknowledge again at once.
-func TestAllVMsStartAgain(t *testing.T) {
+// All VMs lose power at once. They keep no state, and the rows in the store are enough to
+// acknowledge again at once.
+func TestRightsReturnAfterAllVMsRestart(t *testing.T) {
 	c := startCluster(t, 3)
-	c.settle()
+	c.awaitRights()
 	for id := range c.vms {
 		c.stop(id)
 	}
@@ -167,10 +167,10 @@
 	c.eventually(2*time.Second, "every VM has the right again", func() bool { return c.allRight("a") })
 }
 
-// Orders of several coordinators in turn carry rising fences.
+// The orders of successive coordinators carry increasing fences.
 func TestFencesRise(t *testing.T) {
 	c := startCluster(t, 4)
-	coordinator := c.settle()
+	coordinator := c.awaitRights()
 	c.databases.kill("a")
 	c.eventually(4*time.Second, "b leads", func() bool { return c.allRight("b") })
 	c.stop(coordinator)
@@ -183,45 +183,46 @@
 	}
 }
 
-// A VM loses the store and the coordinator: it says so, and that it is back.
-func TestAVMKnowsThatItIsCutOff(t *testing.T) {
+// A VM that loses the store and the coordinator detects that it is cut off, and later that it is
+// connected again.
+func TestAVMDetectsThatItIsCutOff(t *testing.T) {
 	c := startCluster(t, 3)
-	coordinator := c.settle()
+	coordinator := c.awaitRights()
 	for _, v := range c.vms {
 		if v.lead.CutOff() {
-			t.Fatalf("%s takes itself for cut off", v.id)
+			t.Fatalf("%s reports that it is cut off", v.id)
 		}
 		if v.id != coordinator {
-			v.store.shut(true)
+			v.store.setUnavailable(true)
 		}
 	}
 	c.stop(coordinator)
 	for _, v := range c.vms {
-		c.eventually(4*time.Second, "it knows that it is out of touch", v.lead.OutOfTouch)
+		c.eventually(4*time.Second, "it reports that it is out of touch", v.lead.OutOfTouch)
 		if v.lead.CutOff() {
-			t.Fatalf("%s found out that it is cut off before it was out of touch", v.id)
+			t.Fatalf("%s reported that it is cut off before it was out of touch", v.id)
 		}
 	}
 	for _, v := range c.vms {
-		c.eventually(4*time.Second, "it knows that it is cut off", v.lead.CutOff)
+		c.eventually(4*time.Second, "it reports that it is cut off", v.lead.CutOff)
 	}
 	for _, v := range c.vms {
-		v.store.shut(false)
-		c.eventually(4*time.Second, "it knows that it is back", func() bool { return !v.lead.CutOff() && !v.lead.OutOfTouch() })
+		v.store.setUnavailable(false)
+		c.eventually(4*time.Second, "it reports that it is connected again", func() bool { return !v.lead.CutOff() && !v.lead.OutOfTouch() })
 	}
 }
 
-// A primary goes dark. All VMs confirm at once that they hold no right, and the command to step
-// down is never answered: it must not keep the promotion back for as long as a new connection to
-// a living primary might take, since callers' writes wait meanwhile.
-func TestADarkPrimaryIsNotWaitedForLong(t *testing.T) {
+// A primary becomes unreachable. All VMs confirm at once that they hold no right, and the command
+// to step down is never answered. It must not delay the promotion for as long as a new connection
+// to a running primary might take, since the callers' writes wait meanwhile.
+func TestAnUnreachablePrimaryDoesNotDelayThePromotion(t *testing.T) {
 	c := startCluster(t, 3)
-	c.settle()
+	c.awaitRights()
 	c.databases.kill("a")
 	c.eventually(5*time.Second, "every VM has the right for b", func() bool { return c.allRight("b") })
 	c.databases.mu.Lock()
 	defer c.databases.mu.Unlock()
-	if waits := c.databases.patience; waits == 0 || waits > 150*time.Millisecond {
-		t.Fatalf("the dark primary is waited for %v", waits)
+	if waits := c.databases.stepDownTimeout; waits == 0 || waits > 150*time.Millisecond {
+		t.Fatalf("the timeout for the unreachable primary is %v", waits)
 	}
 }
--- a/internal/lead/message.go
+++ b/internal/lead/message.go
@@ -14,17 +14,17 @@
 type messageKind uint8
 
 const (
-	// renewal asks a coordinator for its promise.
+	// renewal requests a coordinator's promise.
 	renewal messageKind = iota + 1
 	// promise answers a renewal.
 	promise
-	// notice tells a changed row.
+	// notice announces changed rows.
 	notice
-	// question asks whether a VM hears a group's coordinator.
+	// question asks whether a VM can reach a coordinator.
 	question
 	// opinion answers a question.
 	opinion
-	// warning names customers that have come near their limits.
+	// warning lists customers that are close to their limits.
 	warning
 )
 
@@ -34,70 +34,73 @@
 
 func (k messageKind) String() string { return kindNames[k] }
 
-// message is one datagram between two VMs. All are idempotent, and a lost one is
-// made up for by the next.
+// message is one datagram between two VMs. All messages are idempotent, and a lost message is
+// compensated by the next one.
 type message struct {
 	Kind        messageKind          `msgpack:"k"`
 	From        topology.VMID        `msgpack:"f"`
 	Incarnation topology.Incarnation `msgpack:"i"`
-	// Sequence of the renewal; its promise has the same.
+	// Sequence is the number of a renewal; the promise that answers it has the same number.
 	Sequence uint64 `msgpack:"s"`
-	// Groups are the groups that the message is about. In a renewal with a digest only those whose
-	// primary the sender finds failing or saturated.
-	Groups []part `msgpack:"g,omitempty"`
-	// Digest, in a renewal, stands for all rows of the coordinator that the sender knows; in a promise, for
-	// those that it is given under. A promise with neither a digest nor groups asks for a
-	// renewal with all groups.
+	// Groups are the groups that the message is about. A renewal with a digest lists only those
+	// whose primary is failing or saturated as observed by the sender.
+	Groups []groupEntry `msgpack:"g,omitempty"`
+	// Digest covers, in a renewal, all rows of the coordinator that the sender knows; in a promise,
+	// the rows that the promise was given for. A promise with neither a digest nor groups requests
+	// a renewal that lists all groups.
 	Digest uint64 `msgpack:"d,omitempty"`
-	// Reached, in a renewal with a digest, are the groups whose primary answers the sender.
+	// Reached holds, in a renewal with a digest, the groups whose primary answers the sender.
 	Reached groupSet `msgpack:"r,omitempty"`
-	// Refused, in a promise with a digest, are the groups without a promise, and StoreLost is as in
-	// a part, for all groups.
+	// Refused holds, in a promise with a digest, the groups for which no promise was given.
+	// StoreLost has the meaning of groupEntry.StoreLost, for all groups.
 	Refused groupSet `msgpack:"u,omitempty"`
-	// Positions, in a promise with a digest, are the primaries' newest ones, in the groups' order.
-	Positions []told `msgpack:"p,omitempty"`
-	StoreLost bool   `msgpack:"o,omitempty"`
-	// Leaving: the sender is about to end.
+	// Positions are, in a promise with a digest, the newest positions of the primaries, in the
+	// order of the groups.
+	Positions []positionSample `msgpack:"p,omitempty"`
+	StoreLost bool             `msgpack:"o,omitempty"`
+	// Leaving is set when the sender is about to shut down.
 	Leaving bool `msgpack:"l,omitempty"`
-	// Starved are targets of which a VM gets fewer connections than its share: in a
-	// renewal the sender, in a promise any.
+	// Starved lists targets to which the sender of a renewal gets fewer connections than its share;
+	// in a promise, those to which any VM does.
 	Starved []topology.TargetID `msgpack:"t,omitempty"`
-	// Followed, in a renewal, is how far the sender has followed the store; News, in a promise, is
-	// what is new there.
+	// Followed is, in a renewal, how far the sender has followed the store; News is, in a promise,
+	// what has changed there since.
 	Followed directory.Followed `msgpack:"w,omitempty"`
 	News     directory.News     `msgpack:"n,omitempty"`
-	// Usage, in a renewal, is what the sender admitted for customers, and Quota, in a promise, answers it; both
-	// only between a VM and the coordinator of the first group. Near, in a warning, are customers.
+	// Usage is, in a renewal, what the sender admitted for customers, and Quota, in a promise, is
+	// the answer to it. Both are exchanged only with the coordinator of the first group. Near
+	// lists, in a warning, customers that are close to their limits.
 	Usage []quota.Usage `msgpack:"q,omitempty"`
 	Quota *quota.Answer `msgpack:"y,omitempty"`
 	Near  []quota.Tag   `msgpack:"z,omitempty"`
-	// About is the coordinator that a question and its opinion are of; Hears: the
-	// opinion's sender hears it.
-	About topology.VMID `msgpack:"a,omitempty"`
-	Hears bool          `msgpack:"h,omitempty"`
+	// About is the coordinator that a question and its opinion refer to. Reachable is set in an
+	// opinion if its sender receives the coordinator's messages.
+	About     topology.VMID `msgpack:"a,omitempty"`
+	Reachable bool          `msgpack:"h,omitempty"`
 }
 
-// part is what a message says of one group.
-type part struct {
+// groupEntry is what a message contains about one group.
+type groupEntry struct {
 	Group topology.GroupID `msgpack:"g"`
-	// Version that the sender has adopted.
+	// Version is the row version that the sender has adopted.
 	Version uint64 `msgpack:"v"`
-	// Promised: the coordinator promises.
+	// Promised is set when the coordinator gives its promise.
 	Promised bool `msgpack:"p,omitempty"`
-	// Row is sent to a VM that knows an older one.
+	// Row is included for a VM that knows an older version.
 	Row *lease.Row `msgpack:"r,omitempty"`
-	// Target, Reached and FailingMS report how the sender finds the primary.
+	// Target, Reached and FailingMS report the state of the primary as observed by the sender.
 	Target    topology.TargetID `msgpack:"t,omitempty"`
 	Reached   bool              `msgpack:"o,omitempty"`
 	FailingMS int64             `msgpack:"x,omitempty"`
-	// Saturated: the primary refuses the sender's statements for its load.
+	// Saturated is set when the primary refuses the sender's statements because of overload.
 	Saturated bool `msgpack:"u,omitempty"`
-	// StoreLost: the coordinator does not reach the store and can't replace the
-	// primary; another VM had better take its place.
+	// StoreLost is set when the coordinator does not reach the store and so cannot replace the
+	// primary; another VM should take over from it.
 	StoreLost bool `msgpack:"l,omitempty"`
 }
 
-// encode writes integers in as few bytes as they need: most are small, and a promise has three for each group.
+// encode writes integers in their shortest form: most are small, and a promise has three of them
+// for each group.
 func encode(m *message) ([]byte, error) {
 	var raw bytes.Buffer
 	enc := msgpack.NewEncoder(&raw)
--- a/internal/lead/message_size_test.go
+++ b/internal/lead/message_size_test.go
@@ -9,7 +9,7 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// longRow is a row with long names and all its witnesses.
+// longRow returns a row with long names and the maximum number of witnesses.
 func longRow(i int) *lease.Row {
 	row := rowNumber(i)
 	row.Version = 2
@@ -20,11 +20,11 @@
 	return row
 }
 
-// Guards against rows that nobody is told: with many groups the answer to a VM that lacks their rows was
-// greater than a datagram.
+// Guards against rows that never arrive: with many groups, the answer to a VM that lacked their
+// rows exceeded the size of a datagram.
 func TestTheRowsOfManyGroupsFitIntoMessages(t *testing.T) {
 	const groups = 300
-	coordinator, vm, clock := pair(groups)
+	coordinator, vm, clock := newPair(groups)
 	var rows []*lease.Row
 	for i := range groups {
 		row := longRow(i)
@@ -32,13 +32,13 @@
 		coordinator.holder.Adopt(row)
 		coordinator.coordinator.Observe(row, clock.Now(), clock.Now())
 	}
-	for part := range slices.Chunk(rows, rowsPerMessage) {
-		fits(t, coordinator.noticeOf(part))
+	for batch := range slices.Chunk(rows, rowsPerMessage) {
+		fits(t, coordinator.newNotice(batch))
 	}
-	for turns := 0; ; turns++ {
+	for rounds := 0; ; rounds++ {
 		request := &message{}
 		for _, row := range vm.rowsOf("vm-1") {
-			request.Groups = append(request.Groups, vm.partOf(row.Group, row))
+			request.Groups = append(request.Groups, vm.entryFor(row.Group, row))
 		}
 		answer := &message{Kind: promise, From: "vm-1", Incarnation: 1}
 		coordinator.promiseInFull(request, answer, clock.Now())
@@ -51,8 +51,8 @@
 			}
 		}
 		if known == 0 {
-			if turns < groups/rowsPerMessage {
-				t.Fatalf("no more rows after %d answers", turns)
+			if rounds < groups/rowsPerMessage {
+				t.Fatalf("no more rows after %d answers", rounds)
 			}
 			return
 		}
@@ -65,13 +65,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(raw) > maxDatagram {
+	if len(raw) > maxDatagramBytes {
 		t.Fatalf("a message of %d bytes", len(raw))
 	}
 }
 
-// Guards against promises that are mostly zeros: each carries a position for each group, to each VM four times a
-// second.
+// Guards against promises that consist mostly of zeros: a promise contains a position for each
+// group and is sent to each VM four times a second.
 func TestAPositionTakesFewBytes(t *testing.T) {
 	const groups = 200
 	m := &message{Kind: promise, From: "vm-1", Incarnation: 1}
@@ -80,7 +80,7 @@
 		t.Fatal(err)
 	}
 	for range groups {
-		m.Positions = append(m.Positions, told{AgeMS: 150, Term: 3, Index: 123456})
+		m.Positions = append(m.Positions, positionSample{AgeMS: 150, Term: 3, Index: 123456})
 	}
 	raw, err := encode(m)
 	if err != nil {
--- a/internal/lead/notice.go
+++ b/internal/lead/notice.go
@@ -8,13 +8,13 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// handleNotice adopts the rows and confirms it at once: the coordinator waits for it.
+// handleNotice adopts the rows and confirms them at once, as the coordinator waits for it.
 func (l *Lead) handleNotice(m *message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.heard[m.From] = l.Clock.Now()
+	l.lastMessage[m.From] = l.Clock.Now()
 	if m.Leaving {
-		l.gone[m.From] = m.Incarnation
+		l.leavingVMs[m.From] = m.Incarnation
 	}
 	for _, p := range m.Groups {
 		if p.Row == nil {
@@ -28,35 +28,35 @@
 	l.renew(l.Clock.Now())
 }
 
-// successorLead is how long the next coordinator is told a row before the others: it reads
-// the row from the store before it promises anything, and a VM that asks it sooner waits a
-// whole renewal for its right.
-const successorLead = 50 * time.Millisecond
+// successorHeadStart is how much earlier the next coordinator receives a row than the other VMs. It
+// reads the row from the store before it promises anything, and a VM that sends it a renewal before
+// then waits for its right until its next renewal.
+const successorHeadStart = 50 * time.Millisecond
 
-// notify tells all VMs rows of one coordinator.
+// notify sends rows of one coordinator to all VMs.
 func (l *Lead) notify(rows ...*lease.Row) {
 	if len(rows) == 0 {
 		return
 	}
-	for part := range slices.Chunk(rows, rowsPerMessage) {
-		l.notifyOf(part)
+	for batch := range slices.Chunk(rows, rowsPerMessage) {
+		l.sendNotice(batch)
 	}
 }
 
-func (l *Lead) notifyOf(rows []*lease.Row) {
-	m := l.noticeOf(rows)
+func (l *Lead) sendNotice(rows []*lease.Row) {
+	m := l.newNotice(rows)
 	if rows[0].Coordinator == l.self.ID {
 		l.sendToMany(l.vmIDs(), m)
 		return
 	}
 	l.sendTo(rows[0].Coordinator, m)
-	time.AfterFunc(successorLead, func() { l.sendToMany(l.vmIDs(), m) })
+	time.AfterFunc(successorHeadStart, func() { l.sendToMany(l.vmIDs(), m) })
 }
 
-func (l *Lead) noticeOf(rows []*lease.Row) *message {
+func (l *Lead) newNotice(rows []*lease.Row) *message {
 	m := &message{Kind: notice, From: l.self.ID, Incarnation: l.self.Incarnation, Leaving: l.isLeaving()}
 	for _, row := range rows {
-		m.Groups = append(m.Groups, part{Group: row.Group, Version: row.Version, Row: row})
+		m.Groups = append(m.Groups, groupEntry{Group: row.Group, Version: row.Version, Row: row})
 	}
 	return m
 }
--- a/internal/lead/place.go
+++ b/internal/lead/place.go
@@ -9,94 +9,96 @@
 )
 
 const (
-	// placeStands is how long another place must have been the safer one before the
-	// coordination moves there: longer than one change of a primary, which may be
-	// followed by another of the same release or cut.
-	placeStands = 3 * time.Second
-	// worthMoving is how many times the processor time of this VM another one must have.
-	worthMoving = 2
-	// orderRests is how long no order may have been sent before the duty moves by
-	// itself, so that none of them can still be on its way: twice the longest call.
-	orderRests = 3 * time.Second
-	// takenRests is how long a coordinator whose groups this VM took over gets none back: as
-	// long as most outages of a store last for one VM.
-	takenRests = 10 * time.Second
+	// relocationDelay is how long another data centre must have been the safer one before the
+	// coordination moves there. It is longer than one change of a primary, which another may follow
+	// in the same release or partition.
+	relocationDelay = 3 * time.Second
+	// relocationCoresFactor is how many times this VM's cores another VM must have to be preferred
+	// for its size.
+	relocationCoresFactor = 2
+	// orderQuietPeriod is how long this VM must have sent no promotion order before it gives the
+	// duty away, so that none can still be in flight: twice the longest call.
+	orderQuietPeriod = 3 * time.Second
+	// handBackDelay is how long a coordinator gets no group back after this VM took its groups
+	// over: as long as most outages of the store last for a single VM.
+	handBackDelay = 10 * time.Second
 )
 
-// placing is how long another VM has been a safer place for the coordination.
-type placing struct {
+// relocation tracks how long another data centre has been the safer place for the coordination.
+type relocation struct {
 	dataCentre topology.DataCentre
 	since      mono.Time
-	// moving: the duty is being given away, and no order may be sent.
+	// moving is set while the duty is being given away; no order may be sent then.
 	moving bool
-	// ordered is when this VM last sent an order; 0: never.
-	ordered mono.Time
+	// orderedAt is when this VM last sent an order; 0 means never.
+	orderedAt mono.Time
 }
 
-// holderOfDuty returns the holder of the promotion duty if it is another VM that lives:
-// a group coordinated elsewhere would have to fetch the duty from it first.
-func (l *Lead) holderOfDuty(group topology.GroupID, now mono.Time) (topology.VM, bool) {
-	if l.duty.Holder == "" || l.duty.Holder == l.self.ID || l.leaving || l.working[group] {
+// dutyHolderFor returns the holder of the promotion duty if it is another VM that is alive: the
+// coordinator of a group would have to claim the duty from it before a promotion.
+func (l *Lead) dutyHolderFor(group topology.GroupID, now mono.Time) (topology.VM, bool) {
+	if l.duty.Holder == "" || l.duty.Holder == l.self.ID || l.leaving || l.changing[group] {
 		return topology.VM{}, false
 	}
-	return l.usefulHolder(now)
+	return l.usableDutyHolder(now)
 }
 
-// usefulHolder returns the holder of the duty if it lives and was not of no use lately: one
-// that the store turns away goes on talking to the VMs, and its groups would come and go
-// between it and whoever takes them over.
-func (l *Lead) usefulHolder(now mono.Time) (topology.VM, bool) {
+// usableDutyHolder returns the holder of the duty if it is alive and its groups were not taken over
+// recently. A coordinator that only lacks the store keeps exchanging messages with the VMs, and its
+// groups would move back and forth between it and the VM that takes them over.
+func (l *Lead) usableDutyHolder(now mono.Time) (topology.VM, bool) {
 	vm, ok := l.Directory.VM(l.duty.Holder)
-	taken := l.takenFrom[l.duty.Holder]
-	if !ok || vm.Incarnation != l.duty.Incarnation || !l.lives(vm, now) || taken != 0 && now.Sub(taken) < takenRests {
+	taken := l.lastTakeover[l.duty.Holder]
+	if !ok || vm.Incarnation != l.duty.Incarnation || !l.isAlive(vm, now) || taken != 0 && now.Sub(taken) < handBackDelay {
 		return topology.VM{}, false
 	}
 	return vm, true
 }
 
-// dutyIsElsewhere reports whether another VM that is of use holds the duty.
-func (l *Lead) dutyIsElsewhere() bool {
+// dutyHeldElsewhere reports whether another usable VM holds the duty.
+func (l *Lead) dutyHeldElsewhere() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	vm, ok := l.usefulHolder(l.Clock.Now())
+	vm, ok := l.usableDutyHolder(l.Clock.Now())
 	return ok && vm.ID != l.self.ID
 }
 
-// lives reports whether a VM was heard lately and has not said that it leaves.
-func (l *Lead) lives(vm topology.VM, now mono.Time) bool {
-	heard := l.heard[vm.ID]
-	return l.gone[vm.ID] != vm.Incarnation && heard != 0 && now.Sub(heard) < silentAfter
+// isAlive reports whether a VM has recently sent a message and has not announced that it is
+// leaving.
+func (l *Lead) isAlive(vm topology.VM, now mono.Time) bool {
+	lastMessage := l.lastMessage[vm.ID]
+	return l.leavingVMs[vm.ID] != vm.Incarnation && lastMessage != 0 && now.Sub(lastMessage) < silentAfter
 }
 
-// moveToSaferPlace gives the duty, which the groups then follow, to a VM of a data centre
-// that holds fewer primaries. The loss of a data centre with the coordinator and primaries
-// in it stops their groups for longer than the loss of the primaries alone: what the
-// coordinator promised last has to be waited out.
-func (l *Lead) moveToSaferPlace(ctx context.Context, now mono.Time) {
+// relocate gives the duty, which the groups then follow, to a VM in a data centre with fewer
+// primaries. Losing a data centre with the coordinator and primaries stops their groups for longer
+// than losing the primaries alone, because the coordinator's last promises must then expire first.
+func (l *Lead) relocate(ctx context.Context, now mono.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	to, ok := l.saferPlace(now)
-	if !ok || l.placing.dataCentre != to.DataCentre {
-		l.placing.dataCentre, l.placing.since = to.DataCentre, now
+	to, ok := l.saferVM(now)
+	if !ok || l.relocation.dataCentre != to.DataCentre {
+		l.relocation.dataCentre, l.relocation.since = to.DataCentre, now
 		return
 	}
-	if now.Sub(l.placing.since) < placeStands {
+	if now.Sub(l.relocation.since) < relocationDelay {
 		return
 	}
-	l.placing.since = now // Tried once a period.
-	l.placing.moving = true
+	l.relocation.since = now // One attempt per relocationDelay.
+	l.relocation.moving = true
 	go func() {
 		l.giveDuty(ctx, to)
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.placing.moving = false
+		l.relocation.moving = false
 	}()
 }
 
-// saferPlace returns the first living VM by rank if its data centre holds fewer primaries
-// than this VM's, or as few and it has much more processor time. There is none while anything is under way that a move would disturb.
-func (l *Lead) saferPlace(now mono.Time) (topology.VM, bool) {
-	if l.busyElsewhere(now) {
+// saferVM returns the first VM by rank that is alive, if its data centre holds fewer primaries than
+// this VM's, or as few and it has many more cores. It returns none while a change is in progress
+// that a move would disturb.
+func (l *Lead) saferVM(now mono.Time) (topology.VM, bool) {
+	if l.relocationBlocked(now) {
 		return topology.VM{}, false
 	}
 	primaries := l.primaries()
@@ -104,33 +106,35 @@
 		vm, ok := l.Directory.VM(id)
 		fewer := primaries[vm.DataCentre] - primaries[l.self.DataCentre]
 		if fewer > 0 || fewer == 0 && !muchLarger(vm, l.self) {
-			break // The rank begins with the data centres that hold the fewest, and the VMs with the most cores.
+			break // The rank is sorted by fewest primaries, then by most cores.
 		}
-		taken := l.takenFrom[id]
-		if ok && l.lives(vm, now) && (taken == 0 || now.Sub(taken) >= takenRests) {
+		taken := l.lastTakeover[id]
+		if ok && l.isAlive(vm, now) && (taken == 0 || now.Sub(taken) >= handBackDelay) {
 			return vm, true
 		}
 	}
 	return topology.VM{}, false
 }
 
-func muchLarger(a, b topology.VM) bool { return b.Cores > 0 && a.Cores >= worthMoving*b.Cores }
+func muchLarger(a, b topology.VM) bool {
+	return b.Cores > 0 && a.Cores >= relocationCoresFactor*b.Cores
+}
 
-// busyElsewhere reports whether the coordination can't move now: this VM does not have it
-// all, or a change or an order is, or may be, under way.
-func (l *Lead) busyElsewhere(now mono.Time) bool {
+// relocationBlocked reports whether the coordination cannot move now: this VM does not coordinate
+// all groups, or a change or an order is or may be in progress.
+func (l *Lead) relocationBlocked(now mono.Time) bool {
 	groups := l.coordinator.Groups()
-	if len(groups) == 0 || len(groups) < len(l.groups()) || l.leaving || l.placing.moving || l.storeLost(now) {
+	if len(groups) == 0 || len(groups) < len(l.groups()) || l.leaving || l.relocation.moving || l.storeLost(now) {
 		return true
 	}
-	if !l.dutyIsOurs() && l.duty.Holder != "" {
+	if !l.holdsDuty() && l.duty.Holder != "" {
 		return true
 	}
-	if l.placing.ordered != 0 && now.Sub(l.placing.ordered) < orderRests {
+	if l.relocation.orderedAt != 0 && now.Sub(l.relocation.orderedAt) < orderQuietPeriod {
 		return true
 	}
 	for _, group := range groups {
-		if l.working[group] || !l.coordinator.Row(group).Open() || !l.coordinator.Settled(group, now) {
+		if l.changing[group] || !l.coordinator.Row(group).Open() || !l.coordinator.Settled(group, now) {
 			return true
 		}
 	}
--- a/internal/lead/place_cores_test.go
+++ b/internal/lead/place_cores_test.go
@@ -9,28 +9,29 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Guards against a coordinator that is too small for the messages of all VMs: whoever took the place of
-// another in an outage gives it to a VM with much more processor time, if that is as safe a place.
+// Guards against a coordinator that is too small for the messages of all VMs: a VM that took over
+// in an outage hands the coordination to a VM with many more cores, if that VM's data centre is as
+// safe.
 func TestTheCoordinationMovesToALargerVM(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// cores of the other VM; this one has 0.2, or does not know.
-		cores  float64
-		unsure bool
-		in     topology.DataCentre
-		silent bool
-		want   bool
+		// cores of the other VM. This VM has 0.2, or an unknown number if sizeUnknown is set.
+		cores       float64
+		sizeUnknown bool
+		dataCentre  topology.DataCentre
+		silent      bool
+		want        bool
 	}{
-		{name: "four times as large", cores: 0.8, in: "dc-0", want: true},
-		{name: "as large", cores: 0.2, in: "dc-0"},
-		{name: "of unknown size, as this one", unsure: true, in: "dc-0"},
-		{name: "silent", cores: 0.8, in: "dc-0", silent: true},
-		{name: "beside the primary", cores: 0.8, in: "dc-1"},
+		{name: "four times as large", cores: 0.8, dataCentre: "dc-0", want: true},
+		{name: "as large", cores: 0.2, dataCentre: "dc-0"},
+		{name: "of unknown size, as is this one", sizeUnknown: true, dataCentre: "dc-0"},
+		{name: "silent", cores: 0.8, dataCentre: "dc-0", silent: true},
+		{name: "beside the primary", cores: 0.8, dataCentre: "dc-1"},
 	} {
 		clock := &mono.Manual{T: mono.Time(time.Hour)}
 		self := topology.VM{ID: "self", DataCentre: "dc-0", Incarnation: 1, Cores: 0.2}
-		other := topology.VM{ID: "other", DataCentre: c.in, Incarnation: 1, Cores: c.cores}
-		if c.unsure {
+		other := topology.VM{ID: "other", DataCentre: c.dataCentre, Incarnation: 1, Cores: c.cores}
+		if c.sizeUnknown {
 			self.Cores = 0
 		}
 		d := directory.New(self)
@@ -43,9 +44,9 @@
 		l.coordinator.Observe(row, clock.Now(), clock.Now())
 		l.storeSeen = clock.Now()
 		if !c.silent {
-			l.heard["other"] = clock.Now()
+			l.lastMessage["other"] = clock.Now()
 		}
-		if _, got := l.saferPlace(clock.Now()); got != c.want {
+		if _, got := l.saferVM(clock.Now()); got != c.want {
 			t.Errorf("a VM %s: moves %v", c.name, got)
 		}
 	}
--- a/internal/lead/place_test.go
+++ b/internal/lead/place_test.go
@@ -12,19 +12,19 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// The coordinator, which holds the duty to promote, loses power. Another VM takes its
-// groups over, and the store is slow to give it the duty as well. The groups must not go
-// back to the VM that is gone since the duty is still its own: callers of every group
-// would be refused for another second and more, until it is found silent again.
+// The coordinator, which holds the duty to promote, loses power. Another VM takes its groups over,
+// while the store is slow to give it the duty as well. The groups must not be handed back to the
+// failed VM because that VM is still recorded as the holder of the duty: callers of every group
+// would be refused for another second or more, until it is detected as silent again.
 func TestAGroupDoesNotGoBackToASilentCoordinator(t *testing.T) {
 	c := startCluster(t, 4)
-	coordinator := c.settle()
-	time.Sleep(time.Second) // It hears the others.
-	c.databases.kill("a")   // It claims the duty, too.
+	coordinator := c.awaitRights()
+	time.Sleep(time.Second) // It receives the others' messages.
+	c.databases.kill("a")   // It claims the duty as well.
 	c.eventually(4*time.Second, "b leads", func() bool { return c.allRight("b") })
 	before := c.row().Version
 	for _, v := range c.vms {
-		v.store.slowDown("duty/", 500*time.Millisecond)
+		v.store.delayWrites("duty/", 500*time.Millisecond)
 	}
 	c.stop(coordinator)
 	c.eventually(4*time.Second, "another coordinator", func() bool { return c.row().Coordinator != coordinator })
@@ -37,13 +37,13 @@
 	}
 }
 
-// The primary stands in the coordinator's own data centre, and other data centres hold
-// none. The loss of that one would take both at once, and callers would wait for the
-// rights of both to lapse: the coordination moves before. A VM is without its right while it
-// turns to the new coordinator, for so short that a statement waits for it.
+// The primary is in the coordinator's own data centre, and other data centres hold none. Losing
+// that data centre would take both at once, and callers would wait for the rights of both to
+// expire; so the coordination moves beforehand. While a VM switches to the new coordinator it has
+// no right, but only so briefly that a statement waits for it.
 func TestTheCoordinationMovesAwayFromThePrimary(t *testing.T) {
 	c := startCluster(t, 4)
-	coordinator := c.settle()
+	coordinator := c.awaitRights()
 	for _, v := range c.vms {
 		v.directory.SetTarget(directory.Target{
 			Target: topology.Target{ID: "a", Group: group, DataCentre: topology.DataCentre("dc-" + string(coordinator))}, SaysPrimary: true,
@@ -69,12 +69,12 @@
 	}
 }
 
-// Two groups are coordinated by two VMs, as when both wrote a first row at a start. Nothing
-// fails, and yet they come together at one VM, which holds the duty: after a loss of many VMs
-// their groups would change hands several times, and callers wait each time.
-func TestScatteredGroupsComeTogether(t *testing.T) {
+// Two groups have different coordinators, as when two VMs each wrote a first row at startup. Even
+// without any failure they move to one VM, which holds the duty. Otherwise, after the loss of many
+// VMs, their groups would change hands several times, and callers would wait each time.
+func TestGroupsOfSeveralCoordinatorsMoveToOne(t *testing.T) {
 	c := startCluster(t, 3)
-	coordinator := c.settle()
+	coordinator := c.awaitRights()
 	other := topology.GroupID("h")
 	for id, v := range c.vms {
 		if id == coordinator {
@@ -104,21 +104,21 @@
 	})
 }
 
-// The store turns the coordinator away, which holds the duty and goes on talking to the other
-// VMs. Another VM takes the group over, and the group stays there: it must not go back to the
-// one that can't replace a primary, since that one still holds the duty.
+// The store refuses the coordinator, which holds the duty and still exchanges messages with the
+// other VMs. Another VM takes the group over and keeps it. The group must not return to the former
+// coordinator, which cannot replace a primary, because that one still holds the duty.
 func TestAGroupDoesNotGoBackToACoordinatorWithoutTheStore(t *testing.T) {
 	c := startCluster(t, 3)
-	coordinator := c.settle()
-	time.Sleep(time.Second) // It hears the others.
-	c.databases.kill("a")   // It claims the duty, too.
+	coordinator := c.awaitRights()
+	time.Sleep(time.Second) // It receives the others' messages.
+	c.databases.kill("a")   // It claims the duty as well.
 	c.eventually(4*time.Second, "b leads", func() bool { return c.allRight("b") })
 	for id, v := range c.vms {
 		if id != coordinator {
-			v.store.slowDown("duty/", 500*time.Millisecond)
+			v.store.delayWrites("duty/", 500*time.Millisecond)
 		}
 	}
-	c.vms[coordinator].store.shut(true)
+	c.vms[coordinator].store.setUnavailable(true)
 	taken := func() (uint64, bool) {
 		for id, v := range c.vms {
 			if row := v.lead.Row(group); id != coordinator && row.Coordinator != coordinator {
--- a/internal/lead/positions.go
+++ b/internal/lead/positions.go
@@ -11,46 +11,49 @@
 )
 
 const (
-	// sampleEvery is how old a coordinator lets its samples of the primaries' positions become.
-	sampleEvery = 200 * time.Millisecond
-	// sampleTold is how old a sample may be to be told.
-	sampleTold = 2 * time.Second
+	// samplePeriod is the age at which a coordinator renews its samples of the primaries'
+	// positions.
+	samplePeriod = 200 * time.Millisecond
+	// maxSampleAge is the maximum age of a sample that is sent.
+	maxSampleAge = 2 * time.Second
 )
 
-// Positions are the primaries' newest positions, which the coordinator samples and tells the other VMs.
+// Positions holds the primaries' newest positions, which the coordinator samples and sends to the
+// other VMs.
 type Positions interface {
 	Newest(group topology.GroupID) (routing.Sample, bool)
 	Add(group topology.GroupID, s routing.Sample)
 	Renew(group topology.GroupID, age time.Duration)
 }
 
-// told is a sample in a promise. Clocks of two VMs are not compared, so it says its age.
-type told struct {
+// positionSample is a sample in a promise. It contains its age, as the clocks of two VMs are not
+// comparable.
+type positionSample struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // Read by the encoder.
 
-	// AgeMS is the age in milliseconds, rounded up.
+	// AgeMS is the sample's age in milliseconds, rounded up.
 	AgeMS uint32
-	// Term and Index are the position.
+	// Term and Index are the sampled position.
 	Term, Index uint64
 }
 
-// Share has this VM share positions with the others. It comes before Run.
+// Share makes this VM share positions with the others. It must be called before Run.
 func (l *Lead) Share(p Positions) { l.positions = p }
 
-// renewPositions keeps the samples young that this VM tells.
+// renewPositions renews the samples that this VM sends.
 func (l *Lead) renewPositions() {
 	if l.positions == nil {
 		return
 	}
 	l.mu.Lock()
-	rows := l.coordinated()
+	rows := l.coordinatedRows()
 	l.mu.Unlock()
 	samples := make(map[topology.GroupID]routing.Sample, len(rows))
 	for _, row := range rows {
 		if !row.Open() {
 			continue
 		}
-		l.positions.Renew(row.Group, sampleEvery)
+		l.positions.Renew(row.Group, samplePeriod)
 		if s, ok := l.positions.Newest(row.Group); ok {
 			samples[row.Group] = s
 		}
@@ -60,22 +63,22 @@
 	l.samples = samples
 }
 
-// toldPositions are the samples of rows, in their order; the zero value stands for none.
-func (l *Lead) toldPositions(rows []*lease.Row, now mono.Time) []told {
-	all := make([]told, len(rows))
+// freshSamples returns the samples for rows, in their order; the zero value stands for no sample.
+func (l *Lead) freshSamples(rows []*lease.Row, now mono.Time) []positionSample {
+	all := make([]positionSample, len(rows))
 	for i, row := range rows {
 		s, ok := l.samples[row.Group]
-		if ok && s.Position.Term == row.Term && now.Sub(s.Begun) < sampleTold {
+		if ok && s.Position.Term == row.Term && now.Sub(s.Begun) < maxSampleAge {
 			age := now.Sub(s.Begun) + time.Millisecond
-			all[i] = told{AgeMS: uint32(age.Milliseconds()), Term: s.Position.Term, Index: s.Position.Index} //nolint:gosec // Below sampleTold.
+			all[i] = positionSample{AgeMS: uint32(age.Milliseconds()), Term: s.Position.Term, Index: s.Position.Index} //nolint:gosec // Below maxSampleAge.
 		}
 	}
 	return all
 }
 
-// takePositions takes over samples that came in answer to what was sent at sent. The answer is later
-// than that, so none is younger than it is taken for.
-func (l *Lead) takePositions(rows []*lease.Row, all []told, sent mono.Time) {
+// applyPositions applies samples from the answer to a renewal sent at sent. The answer was written
+// later than that, so no sample is newer than it is taken for.
+func (l *Lead) applyPositions(rows []*lease.Row, all []positionSample, sent mono.Time) {
 	if l.positions == nil || len(all) != len(rows) {
 		return
 	}
--- a/internal/lead/positions_test.go
+++ b/internal/lead/positions_test.go
@@ -9,28 +9,30 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// known is a twin of the positions that a VM knows.
-type known struct {
+// fakePositions fakes the positions that a VM knows.
+type fakePositions struct {
 	samples map[topology.GroupID]routing.Sample
 	renewed []topology.GroupID
 }
 
-func (k *known) Newest(group topology.GroupID) (routing.Sample, bool) {
+func (k *fakePositions) Newest(group topology.GroupID) (routing.Sample, bool) {
 	s, ok := k.samples[group]
 	return s, ok
 }
 
-func (k *known) Add(group topology.GroupID, s routing.Sample) { k.samples[group] = s }
+func (k *fakePositions) Add(group topology.GroupID, s routing.Sample) { k.samples[group] = s }
 
-func (k *known) Renew(group topology.GroupID, _ time.Duration) { k.renewed = append(k.renewed, group) }
+func (k *fakePositions) Renew(group topology.GroupID, _ time.Duration) {
+	k.renewed = append(k.renewed, group)
+}
 
-// Guards against a request for a position from each VM to each primary, as many as the callers' reads:
-// the coordinator tells its own samples, and none looks younger at another VM than it is.
-func TestACoordinatorTellsPositions(t *testing.T) {
-	coordinator, vm, clock := pair(4)
+// Guards against requests for positions from each VM to each primary, as many as the callers'
+// reads: the coordinator sends its own samples, and none appears newer at another VM than it is.
+func TestACoordinatorSendsPositions(t *testing.T) {
+	coordinator, vm, clock := newPair(4)
 	const age = 150 * time.Millisecond
 	holds := position.Position{Term: 1, Index: 42}
-	at := &known{samples: map[topology.GroupID]routing.Sample{
+	at := &fakePositions{samples: map[topology.GroupID]routing.Sample{
 		groupNumber(0): {Begun: clock.Now().Add(-age), Position: holds},
 		groupNumber(1): {Begun: clock.Now().Add(-time.Minute), Position: holds},
 		groupNumber(2): {Begun: clock.Now().Add(-age), Position: position.Position{Term: 7, Index: 1}}, // Of another term.
@@ -40,7 +42,7 @@
 	if len(at.renewed) != 4 {
 		t.Fatalf("renews %v", at.renewed)
 	}
-	to := &known{samples: map[topology.GroupID]routing.Sample{}}
+	to := &fakePositions{samples: map[topology.GroupID]routing.Sample{}}
 	vm.Share(to)
 	request := renewalOf(vm)
 	sent := clock.Now()
@@ -55,18 +57,18 @@
 	}
 	s := to.samples[groupNumber(0)]
 	if s.Position != holds || s.Begun.After(sent.Add(-age)) || s.Begun.Before(sent.Add(-age-2*way)) {
-		t.Fatalf("took %v, begun %v before it was asked for", s.Position, sent.Sub(s.Begun))
+		t.Fatalf("took %v, begun %v before the renewal was sent", s.Position, sent.Sub(s.Begun))
 	}
 }
 
-// Guards against a position that was told under rows which have changed since.
-func TestPositionsForRowsOfBeforeArePassedOver(t *testing.T) {
-	coordinator, vm, clock := pair(4)
-	coordinator.Share(&known{samples: map[topology.GroupID]routing.Sample{
+// Guards against positions that were sent under rows which have changed since.
+func TestPositionsForOutdatedRowsAreIgnored(t *testing.T) {
+	coordinator, vm, clock := newPair(4)
+	coordinator.Share(&fakePositions{samples: map[topology.GroupID]routing.Sample{
 		groupNumber(0): {Begun: clock.Now(), Position: position.Position{Term: 1, Index: 42}},
 	}})
 	coordinator.renewPositions()
-	to := &known{samples: map[topology.GroupID]routing.Sample{}}
+	to := &fakePositions{samples: map[topology.GroupID]routing.Sample{}}
 	vm.Share(to)
 	answer := &message{Kind: promise, From: "vm-1", Incarnation: 1, Sequence: 1}
 	coordinator.promiseByDigest(renewalOf(vm), answer, clock.Now())
--- a/internal/lead/promise.go
+++ b/internal/lead/promise.go
@@ -7,13 +7,13 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// report is how one VM finds a group's primary.
+// report is the state of a group's primary as observed by one VM.
 type report struct {
 	at      mono.Time
 	target  topology.TargetID
 	reached bool
 	failing time.Duration
-	// saturated: it refuses statements for its load.
+	// saturated is set when the primary refuses the VM's statements because of overload.
 	saturated bool
 }
 
@@ -21,16 +21,16 @@
 	l.mu.Lock()
 	answer := &message{Kind: promise, From: l.self.ID, Incarnation: l.self.Incarnation, Sequence: m.Sequence, Leaving: l.leaving}
 	if m.Leaving {
-		l.gone[m.From] = m.Incarnation
+		l.leavingVMs[m.From] = m.Incarnation
 	}
 	now := l.Clock.Now()
-	l.heard[m.From] = now
+	l.lastMessage[m.From] = now
 	if m.Digest != 0 {
 		l.promiseByDigest(m, answer, now)
 	} else {
 		l.promiseInFull(m, answer, now)
 	}
-	answer.Starved = l.allStarved(m.Starved, now)
+	answer.Starved = l.mergeStarved(m.Starved, now)
 	l.allocate(m, answer, now)
 	if l.Directory.Relays() && len(l.coordinator.Groups()) > 0 {
 		answer.News = l.Directory.Relay().Noted(now, m.Followed)
@@ -39,34 +39,35 @@
 	l.reply(from, m.From, answer)
 }
 
-// promiseByDigest answers a VM that knows the same rows as this one, and no other.
+// promiseByDigest answers a VM that knows exactly the same rows as this one. Otherwise the answer
+// stays empty.
 func (l *Lead) promiseByDigest(m, answer *message, now mono.Time) {
-	rows := l.coordinated()
+	rows := l.coordinatedRows()
 	if digestOf(rows) != m.Digest {
 		return
 	}
 	answer.Digest, answer.StoreLost = m.Digest, l.storeLost(now)
 	if m.From != l.self.ID {
-		answer.Positions = l.toldPositions(rows, now)
+		answer.Positions = l.freshSamples(rows, now)
 	}
 	for i, row := range rows {
-		l.noteReport(m.From, part{Group: row.Group, Target: row.Primary, Reached: m.Reached.has(i)}, now)
+		l.recordReport(m.From, groupEntry{Group: row.Group, Target: row.Primary, Reached: m.Reached.has(i)}, now)
 		if !l.coordinator.Promise(row.Group, m.From, m.Incarnation, row.Version, now) {
 			answer.Refused.add(i)
 		}
 	}
 	for _, p := range m.Groups {
-		l.noteReport(m.From, p, now)
+		l.recordReport(m.From, p, now)
 	}
 }
 
-// promiseInFull answers for each group by itself, with the rows that the VM lacks. It asks again for
-// those that are too many for one message.
+// promiseInFull answers for each group separately and includes the rows that the VM lacks. Rows
+// that do not fit into one message follow with the VM's next renewals.
 func (l *Lead) promiseInFull(m, answer *message, now mono.Time) {
 	lost, rows := l.storeLost(now), 0
 	for _, p := range m.Groups {
-		l.noteReport(m.From, p, now)
-		a := part{Group: p.Group, StoreLost: lost}
+		l.recordReport(m.From, p, now)
+		a := groupEntry{Group: p.Group, StoreLost: lost}
 		a.Promised = l.coordinator.Promise(p.Group, m.From, m.Incarnation, p.Version, now)
 		if row := l.holder.Row(p.Group); row != nil {
 			a.Version = row.Version
@@ -79,13 +80,14 @@
 	}
 }
 
-// starvedKept is how long a VM's shortage is passed on: two renewals.
-const starvedKept = 900 * time.Millisecond
+// starvedTTL is how long a VM's shortage of connections is passed on: two renewals.
+const starvedTTL = 900 * time.Millisecond
 
-// allStarved notes what a VM is short of and returns what any VM is.
-func (l *Lead) allStarved(of []topology.TargetID, now mono.Time) []topology.TargetID {
-	for _, id := range of {
-		l.starved[id] = now.Add(starvedKept)
+// mergeStarved records the targets for which one VM is short of connections, and returns those for
+// which any VM is.
+func (l *Lead) mergeStarved(reported []topology.TargetID, now mono.Time) []topology.TargetID {
+	for _, id := range reported {
+		l.starved[id] = now.Add(starvedTTL)
 	}
 	var all []topology.TargetID
 	for id, until := range l.starved {
@@ -98,7 +100,7 @@
 	return all
 }
 
-func (l *Lead) noteReport(vm topology.VMID, p part, now mono.Time) {
+func (l *Lead) recordReport(vm topology.VMID, p groupEntry, now mono.Time) {
 	if p.Target == "" {
 		return
 	}
--- a/internal/lead/promote.go
+++ b/internal/lead/promote.go
@@ -13,40 +13,41 @@
 )
 
 const (
-	// promotedPoll is how often a candidate is asked whether it leads by now: a
-	// promotion takes some hundred milliseconds. An overloaded one refuses to answer now
-	// and then, and callers' writes wait for each further look.
-	promotedPoll = 25 * time.Millisecond
-	// promoteAgain is when an unanswered or ineffective promotion is ordered again.
-	promoteAgain = 1500 * time.Millisecond
-	// promotePatience is how long a candidate that does not answer is waited for
-	// before another one is chosen: its promotion may still take effect.
-	promotePatience = 4 * time.Second
-	// promoteLimit is how long a promotion that the platform has accepted may go without
-	// effect at a candidate that answers: ten times what the slowest takes, and the time in
-	// which a change of primary is to be over.
-	promoteLimit = 6 * time.Second
+	// promotionPollPeriod is how often a candidate is asked whether it already leads. A promotion
+	// takes some hundred milliseconds. An overloaded candidate occasionally refuses to answer, and
+	// the callers' writes wait for each further query.
+	promotionPollPeriod = 25 * time.Millisecond
+	// promotionRetryPeriod is how long after an order an unanswered or ineffective promotion is
+	// ordered again.
+	promotionRetryPeriod = 1500 * time.Millisecond
+	// silentCandidateTimeout is how long to wait for a candidate that does not answer before
+	// another one is chosen, as its promotion may still take effect.
+	silentCandidateTimeout = 4 * time.Second
+	// promotionTimeout is how long a promotion that the platform has accepted may have no effect on
+	// a candidate that answers: ten times the duration of the slowest promotion, and the time limit
+	// for a change of the primary.
+	promotionTimeout = 6 * time.Second
 )
 
-// promote orders the promotion, waits for its effect and opens the row. An unanswered order
-// may take effect late, so the candidate stays the same until it is known to be down.
+// promote orders the promotion, waits until it has taken effect, and opens the row. An unanswered
+// order may take effect late, so the candidate does not change until it is known to be down.
 func (r *replacement) promote(ctx context.Context) error {
 	ordered, seen := time.Time{}, time.Now()
-	var accepted time.Time // When the first order was answered with success.
+	var accepted time.Time // When an order was first answered with success.
 	for {
-		if r.owned() == nil || ctx.Err() != nil {
-			return errOvertaken
+		if r.coordinatedRow() == nil || ctx.Err() != nil {
+			return errSuperseded
 		}
 		candidate, ok := r.Directory.Target(r.row.Handover.Candidate)
 		if !ok || candidate.Superseded {
-			return r.chooseAgain(ctx, "registration_gone")
+			return r.dropCandidate(ctx, "registration_gone")
 		}
-		if time.Since(ordered) > promoteAgain {
+		if time.Since(ordered) > promotionRetryPeriod {
 			ordered = time.Now()
-			err := r.order(ctx, candidate.ID)
+			err := r.orderPromotion(ctx, candidate.ID)
 			switch {
 			case errors.Is(err, ErrNotPromotable):
-				return r.chooseAgain(ctx, "not_promotable")
+				return r.dropCandidate(ctx, "not_promotable")
 			case err != nil:
 				r.Log.Warn("event=promotion_unanswered", "group", r.group, "candidate", candidate.ID, "error", err)
 			case accepted.IsZero():
@@ -58,49 +59,49 @@
 		case err == nil && s.Primary && s.Term > r.row.Term:
 			return r.change(ctx, r.row.Opened(s.Term))
 		case err == nil && r.leadsAlready(s):
-			return r.returned(ctx, candidate.ID)
-		case err == nil && !accepted.IsZero() && time.Since(accepted) > promoteLimit:
-			return r.chooseAgain(ctx, "ineffective")
+			return r.reopenFor(ctx, candidate.ID)
+		case err == nil && !accepted.IsZero() && time.Since(accepted) > promotionTimeout:
+			return r.dropCandidate(ctx, "ineffective")
 		case err == nil:
 			seen = time.Now()
-		case time.Since(seen) > promotePatience:
-			return r.chooseAgain(ctx, "silent")
+		case time.Since(seen) > silentCandidateTimeout:
+			return r.dropCandidate(ctx, "silent")
 		}
-		wait.For(ctx, promotedPoll)
+		wait.For(ctx, promotionPollPeriod)
 	}
 }
 
-// order sends the order just after a look at the clock: a VM that was paused before
-// it may have been replaced as the coordinator.
-func (r *replacement) order(ctx context.Context, candidate topology.TargetID) error {
+// orderPromotion sends the order right after checking the age of the coordinator's last
+// confirmation: a VM that was paused before may have been replaced as the coordinator.
+func (r *replacement) orderPromotion(ctx context.Context, candidate topology.TargetID) error {
 	r.mu.Lock()
 	fresh := r.Clock.Now().Sub(r.coordinator.Confirmed(r.group)) < lease.CoordinatorLimit
 	r.mu.Unlock()
 	if !fresh {
-		return errOvertaken
+		return errSuperseded
 	}
 	fence, err := r.acquireDuty(ctx)
 	if err != nil {
 		return errors.Wrap(err, "the duty")
 	}
 	r.mu.Lock()
-	r.placing.ordered = r.Clock.Now()
+	r.relocation.orderedAt = r.Clock.Now()
 	r.mu.Unlock()
 	return r.Promotions.Promote(ctx, r.group, candidate, r.self.ID, fence)
 }
 
-// chooseAgain drops a candidate that is down; the next run chooses another one.
-func (r *replacement) chooseAgain(ctx context.Context, why string) error {
+// dropCandidate drops a candidate that failed; the next run chooses another one.
+func (r *replacement) dropCandidate(ctx context.Context, reason string) error {
 	failed := r.row.Handover.Candidate
 	if err := r.change(ctx, r.row.Choosing("", position.Position{}, false)); err != nil {
 		return err
 	}
 	r.resumeReceiving(ctx, failed)
-	return errors.Newf("candidate %s failed: %s", failed, why)
+	return errors.Newf("candidate %s failed: %s", failed, reason)
 }
 
-// resumeReceiving lets a replica follow its primary again that was stopped for its
-// promotion. One that does not answer is down, and receives after its restart.
+// resumeReceiving lets a replica that was stopped for its promotion follow its primary again. A
+// replica that does not answer is down, and receives again after its restart.
 func (r *replacement) resumeReceiving(ctx context.Context, id topology.TargetID) {
 	t, ok := r.Directory.Target(id)
 	if !ok {
--- a/internal/lead/quota.go
+++ b/internal/lead/quota.go
@@ -6,8 +6,8 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// allocatorVM returns the VM that collects what all VMs admit: the coordinator of the first group, so
-// that there is one wherever the groups' coordinators are.
+// allocatorVM returns the VM that collects what all VMs admit. It is the coordinator of the first
+// group, so there is only one even if the groups have different coordinators.
 func (l *Lead) allocatorVM() topology.VMID {
 	for _, group := range l.groups() {
 		if row := l.holder.Row(group); row != nil {
@@ -17,14 +17,14 @@
 	return ""
 }
 
-// reportUsage adds what this VM admitted to a renewal to the allocator.
+// reportUsage adds what this VM admitted to a renewal if it goes to the allocator.
 func (l *Lead) reportUsage(to topology.VMID, m *message) {
 	if l.Limits != nil && to == l.allocatorVM() {
 		m.Usage = l.Limits.Report()
 	}
 }
 
-// urgentUsage gets a value when the allocator is to hear at once of what was admitted.
+// urgentUsage returns a channel that receives when this VM's usage must be reported at once.
 func (l *Lead) urgentUsage() <-chan struct{} {
 	if l.Limits == nil {
 		return nil
@@ -32,8 +32,8 @@
 	return l.Limits.Urgent()
 }
 
-// hurryUsage has the next renewal to the allocator be sent now.
-func (l *Lead) hurryUsage() {
+// expediteUsage makes the next renewal to the allocator due now.
+func (l *Lead) expediteUsage() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if x := l.renewals[l.allocatorVM()]; x != nil {
@@ -41,7 +41,7 @@
 	}
 }
 
-// allocate answers a VM's report, if this VM is the allocator.
+// allocate answers a VM's usage report if this VM is the allocator.
 func (l *Lead) allocate(m, answer *message, now mono.Time) {
 	if l.Limits == nil {
 		return
@@ -62,8 +62,8 @@
 	}
 }
 
-// warn tells all VMs at once of customers that have come near their limits: in the time of a renewal a flood
-// could pass them by far.
+// warn notifies all VMs at once of customers that are close to their limits: within one renewal
+// period a flood of requests could exceed the limits by far.
 func (l *Lead) warn(near []quota.Tag) {
 	l.Log.Info("event=customers_near_limit", "customers", l.Limits.Names(near))
 	m := &message{Kind: warning, From: l.self.ID, Incarnation: l.self.Incarnation, Near: near}
@@ -76,8 +76,8 @@
 	}
 }
 
-// takeQuota takes over the allocator's answer.
-func (l *Lead) takeQuota(m *message, sent mono.Time) {
+// applyQuota applies the allocator's answer.
+func (l *Lead) applyQuota(m *message, sent mono.Time) {
 	if l.Limits != nil && m.Quota != nil {
 		l.Limits.Take(m.Quota, sent)
 	}
--- a/internal/lead/quota_test.go
+++ b/internal/lead/quota_test.go
@@ -9,12 +9,12 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-const limited = topology.CustomerID("acme")
+const limitedCustomer = topology.CustomerID("acme")
 
 // startLimited starts VMs that limit one customer.
 func startLimited(t *testing.T, vms int, l customer.Limit) *cluster {
 	t.Helper()
-	register, err := customer.NewRegister([]customer.Customer{{ID: limited, Limit: l}})
+	register, err := customer.NewRegister([]customer.Customer{{ID: limitedCustomer, Limit: l}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,12 +24,12 @@
 	return c
 }
 
-// flood asks each VM for an operation each few milliseconds, and returns how many were admitted.
+// flood submits an operation to each VM every few milliseconds, and returns how many were admitted.
 func (c *cluster) flood(d time.Duration) (admitted int, took time.Duration) {
 	begun := time.Now()
 	for time.Since(begun) < d {
 		for _, v := range c.vms {
-			if v.limits.Admit(limited) == nil {
+			if v.limits.Admit(limitedCustomer) == nil {
 				admitted++
 			}
 		}
@@ -49,19 +49,19 @@
 	}
 }
 
-// Guards against a limit that each VM keeps by itself, so that all together pass it.
-func TestALimitBindsAllVMsTogether(t *testing.T) {
+// Guards against a limit that each VM enforces separately, so that all VMs together exceed it.
+func TestALimitHoldsForAllVMsTogether(t *testing.T) {
 	l := customer.Limit{Rate: 100, Burst: 100}
 	c := startLimited(t, 5, l)
-	c.settle()
+	c.awaitRights()
 	c.checkFlood(l, 4*time.Second)
 }
 
-// Guards against a limit that is forgotten as the VM that collects the reports is lost.
-func TestALimitOutlastsItsCoordinator(t *testing.T) {
+// Guards against a limit that is lost together with the VM that collects the usage reports.
+func TestALimitSurvivesTheLossOfItsCoordinator(t *testing.T) {
 	l := customer.Limit{Rate: 100, Burst: 100}
 	c := startLimited(t, 5, l)
-	coordinator := c.settle()
+	coordinator := c.awaitRights()
 	go func() {
 		time.Sleep(time.Second)
 		c.vms[coordinator].cancel()
--- a/internal/lead/reading.go
+++ b/internal/lead/reading.go
@@ -10,14 +10,14 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// needsReading reports whether a right is about to end that the coordinator did not
-// renew.
+// needsReading reports whether to read the store: to probe it, for a missing row, or because a
+// right is about to expire that the coordinator has not renewed.
 func (l *Lead) needsReading(now mono.Time) bool {
-	if l.reading || now.Sub(l.lastRead) < l.readPause() || now.Sub(l.adopted) < readGrace {
+	if l.reading || now.Sub(l.lastRead) < l.readPause() || now.Sub(l.lastAdopted) < readGrace {
 		return false
 	}
-	if l.probe {
-		l.probe, l.reading, l.lastRead = false, true, now
+	if l.probeStore {
+		l.probeStore, l.reading, l.lastRead = false, true, now
 		return true
 	}
 	for _, group := range l.groups() {
@@ -35,19 +35,20 @@
 	return false
 }
 
-// needsRights reports whether rights are to be kept up. A VM that starts waits for its first
-// promise instead, unless a caller needs a right: all VMs start together, and each would read the
-// store several times a second until there is a coordinator.
+// needsRights reports whether to keep rights renewed by reading the store. A starting VM waits for
+// its first promise instead, unless a caller needs a right: when all VMs start together, each would
+// read the store several times a second until there is a coordinator.
 func (l *Lead) needsRights(now mono.Time) bool {
-	return l.promised || l.wanted != 0 && now.Sub(l.wanted) < wantedFor
+	return l.promised || l.rightWanted != 0 && now.Sub(l.rightWanted) < rightDemandTTL
 }
 
-// readPause is the time between two readings.
+// readPause returns the time between two reads.
 func (l *Lead) readPause() time.Duration {
 	return min(readPeriod<<min(l.readFailures, 8), longestReadPeriod)
 }
 
-// read reads the rows, which is a source of the right by itself.
+// read reads the rows from the store. A read is a source of rights on its own, independent of the
+// coordinator.
 func (l *Lead) read(ctx context.Context) {
 	began := l.Clock.Now()
 	rows, err := l.Store.List(ctx, Table, decisionRows)
@@ -56,7 +57,7 @@
 		registered, err = l.isRegistered(ctx, rows)
 	}
 	if err == nil {
-		l.takeDecisions(rows.Rows, began, registered)
+		l.applyDecisions(rows.Rows, began, registered)
 		l.storeAnswered(began)
 	}
 	l.mu.Lock()
@@ -68,17 +69,17 @@
 		return
 	}
 	if l.readFailures > 0 {
-		l.storeBack = l.Clock.Now()
+		l.storeRegained = l.Clock.Now()
 	}
 	l.readFailures = 0
-	if l.handedOverUnread() {
+	if l.hasUnreadHandover() {
 		l.reading = true
 		go l.read(ctx)
 	}
 }
 
-// isRegistered reports whether this VM was registered when the store had the rows. It has to ask only
-// if a registration was removed since it last did.
+// isRegistered reports whether this VM was registered when the store had these rows. It queries the
+// store only if a registration was removed since the last check.
 func (l *Lead) isRegistered(ctx context.Context, read metastore.Rows) (bool, error) {
 	removal := lastRemoval(read.Rows)
 	l.mu.Lock()
@@ -96,7 +97,7 @@
 	return registered, err
 }
 
-// lastRemoval returns the version at which a registration was last removed; 0: none was.
+// lastRemoval returns the version at which a registration was last removed; 0 means never.
 func lastRemoval(rows []metastore.Row) uint64 {
 	for _, r := range rows {
 		if r.Key == removalKey {
@@ -106,8 +107,8 @@
 	return 0
 }
 
-// registeredAt asks the store whether this VM was registered at the version. A registration that is
-// there now and was written no later has been there since.
+// registeredAt asks the store whether this VM was registered at the version. A registration that
+// exists now and was written no later than that version was present at it.
 func (l *Lead) registeredAt(ctx context.Context, version uint64) (bool, error) {
 	rows, err := l.Store.List(ctx, Table, metastore.Key(vmPrefix+string(l.self.ID)))
 	if err != nil {
@@ -129,20 +130,21 @@
 	return false, nil
 }
 
-// readDecisions reads the duty and the groups' rows, without a right by it.
+// readDecisions reads the duty and the groups' rows without obtaining rights from them.
 func (l *Lead) readDecisions(ctx context.Context) error {
 	began := l.Clock.Now()
 	rows, err := l.Store.List(ctx, Table, decisionRows)
 	if err != nil {
 		return err
 	}
-	l.takeDecisions(rows.Rows, began, false)
+	l.applyDecisions(rows.Rows, began, false)
 	return nil
 }
 
-// handedOverUnread reports whether a group was handed over to this VM that it has not read as
-// its own yet: several come one after the other, and a reading shows those before it.
-func (l *Lead) handedOverUnread() bool {
+// hasUnreadHandover reports whether a group was handed over to this VM whose row it has not yet
+// read as its own. Several groups are handed over one after the other, and a read shows only the
+// earlier ones.
+func (l *Lead) hasUnreadHandover() bool {
 	for _, group := range l.groups() {
 		row := l.holder.Row(group)
 		if row != nil && row.Coordinator == l.self.ID && row.Incarnation == l.self.Incarnation && l.coordinator.Row(group) == nil {
--- a/internal/lead/reading_test.go
+++ b/internal/lead/reading_test.go
@@ -28,7 +28,7 @@
 		c.before(keys)
 	}
 	rows, err := c.Store.List(ctx, table, keys)
-	c.rows.Add(int32(len(rows.Rows))) //nolint:gosec // Some hundred.
+	c.rows.Add(int32(len(rows.Rows))) //nolint:gosec // A few hundred.
 	return rows, err
 }
 
@@ -45,7 +45,7 @@
 	return version
 }
 
-// readingVM is a VM that knows of one group, in a store with many other VMs.
+// readingVM returns a VM that knows one group, with a store that holds many other VMs.
 func readingVM(t *testing.T) (*Lead, *rowCounter) {
 	t.Helper()
 	store := &rowCounter{Store: metastore.NewMemory()}
@@ -63,9 +63,9 @@
 	return l, store
 }
 
-// Guards against readings that grow with the number of VMs: links were full of registrations
-// whenever a coordinator fell silent.
-func TestAReadingBringsNoOtherRegistrations(t *testing.T) {
+// Guards against reads that grow with the number of VMs: registrations saturated the links whenever
+// a coordinator became silent.
+func TestAReadListsNoOtherRegistrations(t *testing.T) {
 	l, store := readingVM(t)
 	l.read(t.Context())
 	if _, ok := l.Right("g"); !ok {
@@ -82,14 +82,15 @@
 	}
 }
 
-// Guards against readings by all VMs of a start: without a caller they wait for their first promise.
-func TestAVMThatStartsReadsForItsCallersOnly(t *testing.T) {
+// Guards against reads by all VMs that start together: without a caller they wait for their first
+// promise.
+func TestAStartingVMReadsOnlyForItsCallers(t *testing.T) {
 	l, _ := readingVM(t)
 	l.read(t.Context())
 	clock := &mono.Manual{T: l.Clock.Now().Add(time.Minute)}
 	l.Clock = clock
 	if l.needsReading(clock.Now()) {
-		t.Fatal("it reads for nobody")
+		t.Fatal("it reads without a caller")
 	}
 	if _, ok := l.Right("g"); ok {
 		t.Fatal("a right after a minute")
@@ -97,16 +98,16 @@
 	if !l.needsReading(clock.Now()) {
 		t.Fatal("it does not read for its caller")
 	}
-	l.reading, l.wanted, l.promised = false, 0, true
+	l.reading, l.rightWanted, l.promised = false, 0, true
 	clock.T = clock.T.Add(time.Minute)
 	if !l.needsReading(clock.Now()) {
-		t.Fatal("it does not keep up the rights that it was promised")
+		t.Fatal("it does not renew the rights that it was promised")
 	}
 }
 
 // Guards against a right that no coordinator waits for: the registration was removed, and a
-// promotion may begin before it is back.
-func TestAReadingOfAnUnregisteredVMGivesNoRight(t *testing.T) {
+// promotion may begin before it is restored.
+func TestAReadOfAnUnregisteredVMGivesNoRight(t *testing.T) {
 	l, store := readingVM(t)
 	own := metastore.Key(vmPrefix + "vm-3")
 	rows, err := store.Store.List(t.Context(), Table, own)
@@ -116,12 +117,12 @@
 	if err := store.Delete(t.Context(), Table, rows.Rows[0].Key, rows.Rows[0].Version, removalKey); err != nil {
 		t.Fatal(err)
 	}
-	l.leaving = true // It does not register again.
+	l.leaving = true // Keeps it from registering again.
 	l.read(t.Context())
 	if _, ok := l.Right("g"); ok {
 		t.Fatal("a right without a registration")
 	}
-	// It is registered again between the two calls of the reading.
+	// The VM is registered again between the two calls of the read.
 	store.before = func(keys metastore.Range) {
 		if keys == own {
 			store.before = nil
@@ -136,7 +137,7 @@
 	if _, ok := l.Right("g"); !ok {
 		t.Fatal("no right after a reading with the registration")
 	}
-	// It is removed again, which the rows of decisions show.
+	// The registration is removed again, which the decision rows show.
 	if rows, err = store.Store.List(t.Context(), Table, own); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lead/register.go
+++ b/internal/lead/register.go
@@ -12,15 +12,15 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// registerRetry between tries to register at a start.
+// registerRetry is the pause between attempts to register at startup.
 const registerRetry = 200 * time.Millisecond
 
-// pruneAfter is how long a VM must be silent before its registration is removed. It
-// is longer than most restarts, and much longer than a right.
+// pruneAfter is how long a VM must be silent before its registration is removed. It is longer than
+// most restarts take, and much longer than a right lasts.
 const pruneAfter = 10 * time.Second
 
-// Register registers this VM with the next incarnation, until it succeeds or ctx ends: nothing on a
-// VM outlives its process, so its starts are numbered by the store's clock.
+// Register registers this VM with its next incarnation and retries until it succeeds or ctx ends.
+// Nothing on a VM outlives its process, so the store's clock numbers its incarnations.
 func Register(ctx context.Context, store metastore.Store, vm topology.VM, log *slog.Logger) (topology.VM, error) {
 	for {
 		registered, err := register(ctx, store, vm)
@@ -28,7 +28,7 @@
 			log.Info("event=registered", "vm", registered.ID, "incarnation", registered.Incarnation, "peer_address", registered.PeerAddress)
 			return registered, nil
 		}
-		log.Warn("event=register_failed", "vm", vm.ID, "error", err, "outcome", "tried_again")
+		log.Warn("event=register_failed", "vm", vm.ID, "error", err, "outcome", "retrying")
 		wait.For(ctx, registerRetry)
 		if ctx.Err() != nil {
 			return vm, ctx.Err()
@@ -36,9 +36,9 @@
 	}
 }
 
-// register takes the next incarnation. A registration of an earlier start that says the same stays as
-// it is: coordinators wait for the VM by it, whichever start runs. Where many VMs start together each
-// would otherwise wait for the writes of the others.
+// register obtains the next incarnation. A registration of an earlier incarnation with the same
+// content is left unchanged, since coordinators wait for the VM whichever incarnation is running.
+// Otherwise, when many VMs start together, each would wait for the writes of the others.
 func register(ctx context.Context, store metastore.Store, vm topology.VM) (topology.VM, error) {
 	key := vmPrefix + string(vm.ID)
 	rows, err := store.List(ctx, Table, metastore.Key(key))
@@ -50,20 +50,20 @@
 	if len(rows.Rows) > 0 {
 		present = rows.Rows[0]
 		if err := json.Unmarshal(present.Value, &earlier); err != nil {
-			earlier = topology.VM{} // It is written anew.
+			earlier = topology.VM{} // The registration is overwritten.
 		}
 	}
-	now := topology.Incarnation(rows.Clock.Milliseconds()) //nolint:gosec // A steady clock is not negative.
+	now := topology.Incarnation(rows.Clock.Milliseconds()) //nolint:gosec // A monotonic clock is not negative.
 	if present.Version == 0 {
-		// The store's version exceeds each incarnation that was taken from it.
+		// The store's version exceeds every incarnation that was derived from it.
 		vm.Incarnation = max(now, topology.Incarnation(rows.Version+1))
 	} else {
 		vm.Incarnation = max(now, earlier.Incarnation+1)
 	}
-	says := earlier
-	says.Incarnation = vm.Incarnation
-	if says == vm && vm.Incarnation == now {
-		return vm, nil // The next start, too, gets a greater number by the clock.
+	renumbered := earlier
+	renumbered.Incarnation = vm.Incarnation
+	if renumbered == vm && vm.Incarnation == now {
+		return vm, nil // The clock gives the next incarnation a greater number, too.
 	}
 	raw, err := json.Marshal(vm)
 	if err != nil {
@@ -73,8 +73,8 @@
 	return vm, err
 }
 
-// registerAgain restores this VM's registration after it was removed. Until then the VM
-// has no right by readings of the store.
+// registerAgain restores this VM's registration after its removal. Until then, reads of the store
+// give this VM no rights.
 func (l *Lead) registerAgain(ctx context.Context) {
 	raw, err := json.Marshal(l.self)
 	if err == nil {
@@ -83,25 +83,25 @@
 	l.Log.Warn("event=registered_again", "error", err)
 }
 
-// prune removes registrations of VMs that were silent for long: each makes a
-// replacement of a primary wait for its rights to lapse. The coordinators do it, since
-// all VMs send to them. A VM that was only cut off registers again.
+// prune removes the registrations of VMs that have been silent for long: each of them makes a
+// replacement of a primary wait until its rights expire. The coordinators do this, since all VMs
+// send messages to them. A VM that was only cut off registers again.
 func (l *Lead) prune(ctx context.Context, now mono.Time) {
 	vms := l.Directory.VMs()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.coordinator.Groups()) == 0 {
-		clear(l.listening)
+		clear(l.listeningSince)
 		return
 	}
 	for _, vm := range vms {
-		since := l.listening[vm.ID]
+		since := l.listeningSince[vm.ID]
 		switch {
 		case vm.ID == l.self.ID:
 		case since == 0:
-			l.listening[vm.ID] = now
-		case now.Sub(max(since, l.heard[vm.ID])) > pruneAfter:
-			l.listening[vm.ID] = now // Tried once a period.
+			l.listeningSince[vm.ID] = now
+		case now.Sub(max(since, l.lastMessage[vm.ID])) > pruneAfter:
+			l.listeningSince[vm.ID] = now // One attempt per pruneAfter.
 			go l.unregister(ctx, vm.ID)
 		}
 	}
@@ -110,7 +110,7 @@
 func (l *Lead) unregister(ctx context.Context, id topology.VMID) {
 	rows, err := l.Store.List(ctx, Table, metastore.Key(vmPrefix+string(id)))
 	if err != nil {
-		l.Log.Info("event=prune_put_off", "vm", id, "error", err)
+		l.Log.Info("event=prune_deferred", "vm", id, "error", err)
 		return
 	}
 	for _, r := range rows.Rows {
--- a/internal/lead/register_test.go
+++ b/internal/lead/register_test.go
@@ -13,7 +13,7 @@
 
 func mustRegister(t *testing.T, store metastore.Store, vm topology.VM) topology.VM {
 	t.Helper()
-	time.Sleep(2 * time.Millisecond) // A start takes longer than the clock's unit.
+	time.Sleep(2 * time.Millisecond) // A start takes longer than one unit of the clock.
 	registered, err := register(context.Background(), store, vm)
 	if err != nil {
 		t.Fatal(err)
@@ -21,9 +21,9 @@
 	return registered
 }
 
-// Guards against a start of all VMs that waits for as many writes: a VM that starts again finds its
-// registration, and writes one only if it says something else. Each start has a greater number.
-func TestAVMThatStartsAgainWritesNothing(t *testing.T) {
+// Guards against a joint start of all VMs that waits for as many writes: a restarted VM finds its
+// registration and writes it only if its content has changed. Each start has a greater incarnation.
+func TestARestartedVMWritesNothing(t *testing.T) {
 	store := &writeCounter{Store: metastore.NewMemory()}
 	vm := topology.VM{ID: "vm-1", PeerAddress: "127.0.0.1:1"}
 	first := mustRegister(t, store, vm)
@@ -42,9 +42,9 @@
 	}
 }
 
-// Guards against two starts with one number: the registration's number is ahead of the store's clock,
-// as one that was taken from the store's version may be.
-func TestANumberAheadOfTheClockIsWritten(t *testing.T) {
+// Guards against two starts with the same incarnation: the registered incarnation is ahead of the
+// store's clock, as one derived from the store's version may be.
+func TestAnIncarnationAheadOfTheClockIsWritten(t *testing.T) {
 	store := &writeCounter{Store: metastore.NewMemory()}
 	const ahead = 1 << 40
 	raw, err := json.Marshal(topology.VM{ID: "vm-1", Incarnation: ahead})
@@ -61,9 +61,9 @@
 	}
 }
 
-// A VM runs a later start than its registration tells: its messages tell which, and a listing of
-// registrations does not set that back.
-func TestTheStartOfAVMIsKnownByItsMessages(t *testing.T) {
+// A VM runs a later incarnation than the one in its registration. Its messages contain the current
+// one, and a listing of registrations does not reset it.
+func TestMessagesUpdateTheIncarnationOfAVM(t *testing.T) {
 	d := directory.New(topology.VM{ID: "self"})
 	registered := topology.VM{ID: "vm-1", Incarnation: 3}
 	d.SetVMs([]topology.VM{registered})
@@ -77,6 +77,6 @@
 	}
 	d.NoteStart("vm-1", 5)
 	if vm, _ := d.VM("vm-1"); vm.Incarnation != 7 {
-		t.Fatalf("a late message set it back to %d", vm.Incarnation)
+		t.Fatalf("a late message reset it to %d", vm.Incarnation)
 	}
 }
--- a/internal/lead/renew.go
+++ b/internal/lead/renew.go
@@ -10,14 +10,14 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// renewalsKept is how many renewals may be on their way.
+// renewalsKept is how many renewals may be in flight.
 const renewalsKept = 8
 
 func (l *Lead) tick(ctx context.Context) {
 	l.mu.Lock()
 	now := l.Clock.Now()
 	l.renew(now)
-	l.noteCutOff(now)
+	l.updateCutOff(now)
 	read := l.needsReading(now)
 	l.Directory.Relay().SetTelling(len(l.coordinator.Groups()) > 0)
 	l.mu.Unlock()
@@ -26,12 +26,12 @@
 	}
 	l.renewPositions()
 	l.firstRows(ctx, now)
-	l.takeOvers(ctx, now)
-	l.judge(ctx, now)
+	l.takeOverFailed(ctx, now)
+	l.checkPrimaries(ctx, now)
 	l.prune(ctx, now)
 }
 
-// renew asks the coordinators for their promises, one message a coordinator.
+// renew requests the coordinators' promises, with one message to each coordinator.
 func (l *Lead) renew(now mono.Time) {
 	due := map[topology.VMID]bool{}
 	for _, group := range l.groups() {
@@ -41,7 +41,7 @@
 		}
 		x := l.renewals[row.Coordinator]
 		if x == nil {
-			x = &exchange{sentAt: map[uint64]mono.Time{}}
+			x = &renewalState{sentAt: map[uint64]mono.Time{}}
 			l.renewals[row.Coordinator] = x
 		}
 		if now.Sub(x.sent) >= renewPeriod || x.sent == 0 {
@@ -68,12 +68,12 @@
 	l.sendTo(to, m)
 }
 
-// reportByDigest has a renewal stand for rows without listing them: as a rule both sides know the
-// same ones, and what one VM sends must not grow with their number.
+// reportByDigest makes a renewal cover rows by their digest instead of listing them. Normally both
+// sides know the same rows, and the size of what one VM sends must not grow with their number.
 func (l *Lead) reportByDigest(m *message, rows []*lease.Row) {
 	m.Digest = digestOf(rows)
 	for i, row := range rows {
-		p := l.partOf(row.Group, row)
+		p := l.entryFor(row.Group, row)
 		if p.Reached {
 			m.Reached.add(i)
 		}
@@ -83,40 +83,40 @@
 	}
 }
 
-// renewInFull lists all rows to a coordinator that knows others than this VM.
+// renewInFull sends a renewal with all rows to a coordinator that knows other rows than this VM.
 func (l *Lead) renewInFull(to topology.VMID, now mono.Time) {
 	m := &message{}
 	for _, row := range l.rowsOf(to) {
-		m.Groups = append(m.Groups, l.partOf(row.Group, row))
+		m.Groups = append(m.Groups, l.entryFor(row.Group, row))
 	}
 	if len(m.Groups) > 0 {
 		l.sendRenewal(to, m, now)
 	}
 }
 
-// groups lists the groups that have a target.
+// groups returns the groups that have a target.
 func (l *Lead) groups() []topology.GroupID { return l.Directory.Groups() }
 
-func (l *Lead) partOf(group topology.GroupID, row *lease.Row) part {
-	p := part{Group: group, Version: row.Version, Target: row.Primary}
+func (l *Lead) entryFor(group topology.GroupID, row *lease.Row) groupEntry {
+	p := groupEntry{Group: group, Version: row.Version, Target: row.Primary}
 	load, ok := l.Health.Load(row.Primary)
 	if !ok {
 		return p
 	}
-	p.FailingMS = reportable(load.FailingFor, l.Clock.Now().Sub(l.connected)).Milliseconds()
+	p.FailingMS = reportableFailure(load.FailingFor, l.Clock.Now().Sub(l.connectedSince)).Milliseconds()
 	p.Saturated = load.Saturated
-	p.Reached = load.LastAnswer != 0 && l.Clock.Now().Sub(load.LastAnswer) < reachedAge
+	p.Reached = load.LastAnswer != 0 && l.Clock.Now().Sub(load.LastAnswer) < maxAnswerAge
 	return p
 }
 
-// reportable is for how long a VM may say that a target fails: not for the time in which
-// the VM itself was cut off. As the cut heals it has not reached the target again yet,
-// and a whole data centre's VMs would have a healthy primary replaced.
-func reportable(failing, connected time.Duration) time.Duration {
+// reportableFailure limits the reported duration of a target's failure to the time in which this VM
+// was connected. When a partition heals, the VM has not reached the target again yet; without the
+// limit the VMs of a whole data centre would have a healthy primary replaced.
+func reportableFailure(failing, connected time.Duration) time.Duration {
 	return min(failing, connected)
 }
 
-// sendTo sends a message to a VM; one to this VM itself is handled at once.
+// sendTo sends a message to a VM; a message to this VM itself is handled directly.
 func (l *Lead) sendTo(id topology.VMID, m *message) {
 	if id == l.self.ID {
 		go l.handle(l.self.PeerAddress, m)
@@ -129,7 +129,7 @@
 	l.Transport.Send(m, vm.PeerAddress)
 }
 
-// sendToMany sends one message to several VMs; it is encoded once.
+// sendToMany sends one message to several VMs and encodes it only once.
 func (l *Lead) sendToMany(ids []topology.VMID, m *message) {
 	addresses := make([]string, 0, len(ids))
 	for _, id := range ids {
@@ -142,7 +142,7 @@
 	l.Transport.Send(m, addresses...)
 }
 
-// handle takes a message of another VM.
+// handle dispatches a message from another VM.
 func (l *Lead) handle(from string, m *message) {
 	l.Directory.NoteStart(m.From, m.Incarnation)
 	switch m.Kind {
@@ -171,17 +171,17 @@
 
 func (l *Lead) handlePromise(m *message) {
 	l.mu.Lock()
-	rows, sent := l.takeAnswer(m)
+	rows, sent := l.applyAnswer(m)
 	l.mu.Unlock()
-	// Not with the lock held: those who take positions ask for rows.
-	l.takePositions(rows, m.Positions, sent)
+	// The lock must not be held here: the receivers of positions ask for rows.
+	l.applyPositions(rows, m.Positions, sent)
 }
 
-// takeAnswer takes a promise over. It returns the rows for which all of it is valid, and when it was
-// asked for.
-func (l *Lead) takeAnswer(m *message) ([]*lease.Row, mono.Time) {
+// applyAnswer applies a coordinator's answer to a renewal. It returns the rows for which the whole
+// answer is valid, and when the renewal was sent.
+func (l *Lead) applyAnswer(m *message) ([]*lease.Row, mono.Time) {
 	now := l.Clock.Now()
-	l.heard[m.From] = now
+	l.lastMessage[m.From] = now
 	x := l.renewals[m.From]
 	if x == nil {
 		return nil, 0
@@ -192,39 +192,39 @@
 	}
 	l.Health.Yield(m.Starved)
 	if m.Leaving {
-		l.gone[m.From] = m.Incarnation
+		l.leavingVMs[m.From] = m.Incarnation
 	}
-	l.takeNews(m, sent)
-	l.takeQuota(m, sent)
+	l.applyNews(m, sent)
+	l.applyQuota(m, sent)
 	switch {
 	case m.Digest != 0:
-		return l.takeByDigest(m, sent, now), sent
+		return l.applyByDigest(m, sent, now), sent
 	case len(m.Groups) == 0:
 		l.renewInFull(m.From, now)
 	default:
-		l.takeInFull(m, sent, now)
+		l.applyInFull(m, sent, now)
 	}
 	return nil, 0
 }
 
-// takeByDigest takes promises over that were given for all rows of a coordinator.
-func (l *Lead) takeByDigest(m *message, sent, now mono.Time) []*lease.Row {
+// applyByDigest applies the promises of a coordinator that were given for all its rows.
+func (l *Lead) applyByDigest(m *message, sent, now mono.Time) []*lease.Row {
 	rows := l.rowsOf(m.From)
 	if digestOf(rows) != m.Digest {
-		return nil // A row has changed since; the coordinator was asked again then.
+		return nil // A row has changed since, and a new renewal was sent at that time.
 	}
 	for i, row := range rows {
 		if row.Incarnation != m.Incarnation {
 			continue
 		}
-		l.coordinatorHeard(m.From, m.StoreLost, now)
-		l.takePromise(row, !m.Refused.has(i), sent, now)
+		l.noteAnswer(m.From, m.StoreLost, now)
+		l.applyPromise(row, !m.Refused.has(i), sent, now)
 	}
 	return rows
 }
 
-// takeInFull takes over what a coordinator answers for each group by itself.
-func (l *Lead) takeInFull(m *message, sent, now mono.Time) {
+// applyInFull applies a coordinator's answer that lists each group separately.
+func (l *Lead) applyInFull(m *message, sent, now mono.Time) {
 	for _, p := range m.Groups {
 		if p.Row != nil {
 			l.adopt(p.Row, string(m.From))
@@ -234,18 +234,18 @@
 		if row == nil || row.Coordinator != m.From || row.Incarnation != m.Incarnation {
 			continue
 		}
-		l.coordinatorHeard(m.From, p.StoreLost, now)
+		l.noteAnswer(m.From, p.StoreLost, now)
 		if p.Version == row.Version {
-			l.takePromise(row, p.Promised, sent, now)
+			l.applyPromise(row, p.Promised, sent, now)
 		}
 	}
 }
 
-// takePromise takes over what the coordinator of a row at its present version answered to what was
-// sent at sent.
-func (l *Lead) takePromise(row *lease.Row, promised bool, sent, now mono.Time) {
+// applyPromise applies the coordinator's answer for a row at its current version; sent is when the
+// renewal was sent.
+func (l *Lead) applyPromise(row *lease.Row, promised bool, sent, now mono.Time) {
 	if !row.Open() {
-		l.frozen[row.Group] = frozenAt{version: row.Version, heard: sent}
+		l.frozen[row.Group] = rowConfirmation{version: row.Version, confirmedAt: sent}
 	}
 	if !promised {
 		return
@@ -254,18 +254,18 @@
 	had := now.Before(l.holder.Until(row.Group))
 	l.holder.Promised(row.Group, row.Version, sent)
 	if !had {
-		l.tell()
+		l.wakeWaiters()
 	}
 }
 
-// takeNews takes over what a coordinator tells of the store. This VM watches the store by
-// itself while it is a coordinator: others rely on it then.
-func (l *Lead) takeNews(m *message, sent mono.Time) {
+// applyNews applies the changes in the store that a coordinator relays. While this VM is a
+// coordinator itself, it watches the store on its own, since others rely on it.
+func (l *Lead) applyNews(m *message, sent mono.Time) {
 	if len(m.News) == 0 || m.From == l.self.ID || len(l.coordinator.Groups()) > 0 {
 		return
 	}
 	l.Directory.Relay().Tell(m.News, sent)
 	if m.News[directory.OwnRows].Matters != 0 {
-		l.storeHeard = sent
+		l.storeReported = sent
 	}
 }
--- a/internal/lead/replace.go
+++ b/internal/lead/replace.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// rightsPoll and renotify are how often it is looked whether all rights ended,
-	// and how often the VMs are told again that they are to.
-	rightsPoll = 5 * time.Millisecond
-	renotify   = 60 * time.Millisecond
-	// longestRenotify is what the time between two reminders doubles up to. Those that
-	// don't confirm are mostly cut off, and a coordinator that reminds many VMs without a pause
-	// falls silent itself and loses its groups.
-	longestRenotify = 250 * time.Millisecond
+	// rightsPollPeriod is how often to check whether all rights have ended, and reminderPeriod how
+	// often the VMs that have not confirmed it are notified again.
+	rightsPollPeriod = 5 * time.Millisecond
+	reminderPeriod   = 60 * time.Millisecond
+	// longestReminderPeriod is the limit up to which the time between two reminders doubles. The
+	// VMs that do not confirm are mostly cut off, and a coordinator that reminds many VMs without a
+	// pause becomes silent itself and loses its groups.
+	longestReminderPeriod = 250 * time.Millisecond
 )
 
-// replacement is the change of one group's primary.
+// replacement is the replacement of one group's primary.
 type replacement struct {
 	*Lead
 	group topology.GroupID
@@ -32,8 +32,8 @@
 	began time.Time
 }
 
-// replace moves a group to another primary: close the row, wait until all rights
-// have ended, choose the candidate, promote it, open the row.
+// replace moves a group to another primary: it closes the row, waits until all rights have ended,
+// chooses the candidate, promotes it, and opens the row.
 func (l *Lead) replace(ctx context.Context, group topology.GroupID, reason string) {
 	r := &replacement{Lead: l, group: group, began: time.Now()}
 	err := r.run(ctx, reason)
@@ -42,7 +42,8 @@
 		"error", err, "took", time.Since(r.began))
 }
 
-// countTargets counts the group's registered targets, and those of them that have not said that they leave.
+// countTargets counts the group's registered targets, and how many of them have not announced that
+// they are leaving.
 func (l *Lead) countTargets(group topology.GroupID) (registered, staying int) {
 	targets := l.Directory.TargetsOf(group)
 	for i := range targets {
@@ -54,9 +55,9 @@
 }
 
 func (r *replacement) run(ctx context.Context, reason string) error {
-	r.row = r.owned()
+	r.row = r.coordinatedRow()
 	if r.row == nil {
-		return errOvertaken
+		return errSuperseded
 	}
 	if r.row.Open() {
 		if err := r.close(ctx, reason); err != nil {
@@ -64,8 +65,8 @@
 		}
 	}
 	if r.row.Handover.Candidate == "" {
-		// Both at once: a primary that is cut off costs a connection's whole timeout.
-		former := make(chan stepped, 1)
+		// Both run in parallel: a primary that is cut off takes the whole timeout of a connection.
+		former := make(chan stepDownResult, 1)
 		go func() { former <- r.stepDown(ctx, reason) }()
 		if err := r.awaitRightsEnded(ctx); err != nil {
 			return err
@@ -77,14 +78,14 @@
 	return r.promote(ctx)
 }
 
-// owned returns the row if this VM coordinates the group.
-func (r *replacement) owned() *lease.Row {
+// coordinatedRow returns the row if this VM coordinates the group, or nil.
+func (r *replacement) coordinatedRow() *lease.Row {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.coordinator.Row(r.group)
 }
 
-// change commits the row's next version.
+// change commits the next version of the row.
 func (r *replacement) change(ctx context.Context, next *lease.Row) error {
 	if err := r.commit(ctx, next); err != nil {
 		return err
@@ -93,8 +94,8 @@
 	return nil
 }
 
-// close stops promises and commits the closed row. The promises stop before the
-// write is sent: its answer may be lost although it took effect.
+// close stops promises and commits the closed row. Promises stop before the write is sent, because
+// its answer may be lost although it took effect.
 func (r *replacement) close(ctx context.Context, reason string) error {
 	if len(r.statuses(ctx, true)) == 0 {
 		return errNoCandidate
@@ -103,21 +104,21 @@
 	r.coordinator.Withdraw(r.group)
 	r.mu.Unlock()
 	err := r.change(ctx, r.row.Closed(reason))
-	if errors.Is(err, errOvertaken) {
+	if errors.Is(err, errSuperseded) {
 		r.mu.Lock()
-		r.coordinator.Restore(r.group) // The row was read again, and is another one.
+		r.coordinator.Restore(r.group) // The row was read again and has been changed by another VM.
 		r.mu.Unlock()
 	}
 	return err
 }
 
-// awaitRightsEnded waits until no VM can acknowledge for the old primary.
+// awaitRightsEnded waits until no VM can acknowledge writes for the old primary any more.
 func (r *replacement) awaitRightsEnded(ctx context.Context) error {
 	registered, err := r.registered(ctx)
-	told, pause := r.Clock.Now(), renotify
+	remindedAt, pause := r.Clock.Now(), reminderPeriod
 	for {
-		if r.owned() == nil {
-			return errOvertaken
+		if r.coordinatedRow() == nil {
+			return errSuperseded
 		}
 		r.mu.Lock()
 		ended := r.coordinator.RightsEnded(r.group, registered, r.Clock.Now())
@@ -129,42 +130,42 @@
 		if err := ctx.Err(); err != nil {
 			return err
 		}
-		if now := r.Clock.Now(); now.Sub(told) >= pause {
-			told, pause = now, min(2*pause, longestRenotify)
+		if now := r.Clock.Now(); now.Sub(remindedAt) >= pause {
+			remindedAt, pause = now, min(2*pause, longestReminderPeriod)
 			r.remind(registered)
 			if err != nil {
 				registered, err = r.registered(ctx)
 			}
 		}
-		wait.For(ctx, rightsPoll)
+		wait.For(ctx, rightsPollPeriod)
 	}
 }
 
-// remind tells those VMs again that have not confirmed the closed row.
+// remind notifies the VMs again that have not confirmed the closed row.
 func (r *replacement) remind(registered []topology.VM) {
 	r.mu.Lock()
 	ids := r.coordinator.Unconfirmed(r.group, registered)
 	r.mu.Unlock()
-	r.sendToMany(ids, r.noticeOf([]*lease.Row{r.row}))
+	r.sendToMany(ids, r.newNotice([]*lease.Row{r.row}))
 }
 
-// unlisted stands for VMs that a failed listing did not tell of: it never confirms,
-// so rights are waited out.
-var unlisted = topology.VM{ID: "", Incarnation: 1}
+// unlistedVM stands for the VMs that a failed listing did not return. It never confirms, so the
+// coordinator waits until the rights expire.
+var unlistedVM = topology.VM{ID: "", Incarnation: 1}
 
-// registered lists the VMs that may hold a right, after the row was closed.
+// registered lists the VMs that may hold a right, read after the row was closed.
 func (r *replacement) registered(ctx context.Context) ([]topology.VM, error) {
 	rows, err := r.Store.List(ctx, Table, metastore.Prefix(vmPrefix))
 	if err != nil {
 		r.Log.Warn("event=registrations_not_read", "group", r.group, "error", err)
-		return []topology.VM{unlisted}, err
+		return []topology.VM{unlistedVM}, err
 	}
 	var vms []topology.VM
 	for _, row := range rows.Rows {
 		var vm topology.VM
 		if err := json.Unmarshal(row.Value, &vm); err != nil {
 			r.Log.Error("event=row_malformed", "key", row.Key, "error", err)
-			vm = unlisted
+			vm = unlistedVM
 		}
 		vms = append(vms, vm)
 	}
--- a/internal/lead/restart_test.go
+++ b/internal/lead/restart_test.go
@@ -8,16 +8,16 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// restart has a database end and answer again as another target, and every VM see its new
+// restart stops a database and restarts it as another target, and makes every VM see its new
 // registration in place of the old one.
-func (c *cluster) restart(was, is topology.TargetID, primary bool, index uint64) {
+func (c *cluster) restart(from, to topology.TargetID, primary bool, index uint64) {
 	c.databases.mu.Lock()
-	c.databases.down[was], c.databases.role[was] = true, false
-	c.databases.role[is], c.databases.index[is] = primary, index
+	c.databases.down[from], c.databases.isPrimary[from] = true, false
+	c.databases.isPrimary[to], c.databases.index[to] = primary, index
 	c.databases.mu.Unlock()
 	for _, v := range c.vms {
-		old, _ := v.directory.Target(was)
-		old.ID, old.Started, old.SaysPrimary = is, old.Started+1, primary
+		old, _ := v.directory.Target(from)
+		old.ID, old.Started, old.SaysPrimary = to, old.Started+1, primary
 		v.directory.SetTarget(old)
 	}
 }
@@ -32,13 +32,13 @@
 	}
 }
 
-// The primary crashes and is back at once, at its address, with its log and under another name;
-// it leads its term still. Callers' writes go on there: the platform has nothing to promote, and
-// an order for it would change nothing. Waited for, the next term never comes, and writes are
-// refused for good.
-func TestAPrimaryThatCameBackUnderAnotherNameGoesOn(t *testing.T) {
+// The primary crashes and restarts at once, at its address, with its log and under another name; it
+// still leads its term. Writes continue there: the platform has nothing to promote, and an order
+// for it would have no effect. If the coordinator waited for the next term, which never comes,
+// writes would be refused forever.
+func TestAPrimaryRestartedUnderAnotherNameStaysPrimary(t *testing.T) {
 	c := startCluster(t, 3)
-	c.settle()
+	c.awaitRights()
 	c.registerAt("a", "b", "c")
 	c.restart("a", "a2", true, 9)
 	c.eventually(3*time.Second, "every VM has the right for a2", func() bool { return c.allRight("a2") })
@@ -48,12 +48,12 @@
 	}
 }
 
-// The primary crashes and is back under another name without its log: a replica has more. What
-// callers were acknowledged is there, so the replica leads, though the other calls itself the
-// primary of the term.
-func TestAPrimaryThatCameBackEmptyIsReplaced(t *testing.T) {
+// The primary crashes and restarts under another name without its log, so a replica holds more. The
+// replica has what callers got acknowledged, so it leads, although the restarted target reports
+// itself as the primary of the term.
+func TestAPrimaryRestartedWithoutItsLogIsReplaced(t *testing.T) {
 	c := startCluster(t, 3)
-	c.settle()
+	c.awaitRights()
 	c.registerAt("a", "b", "c")
 	c.restart("a", "a2", true, 0)
 	c.eventually(3*time.Second, "every VM has the right for b", func() bool { return c.allRight("b") })
@@ -62,25 +62,25 @@
 	}
 }
 
-// The primary starts again so quickly that no VM fails at its address: only its registration
-// tells that it is another start. It knows nothing of before, so its group gets a new primary at
-// once, and not when the old entry lapses.
+// The primary restarts so quickly that it fails for no VM: only its registration shows the restart.
+// It has lost its state, so its group gets a new primary at once, and not only when the old
+// registration expires.
 func TestARestartedPrimaryIsReplacedAtOnce(t *testing.T) {
 	c := startCluster(t, 3)
-	c.settle()
+	c.awaitRights()
 	c.registerAt("a", "b", "c")
 	c.restart("a", "a2", false, 0)
 	c.databases.mu.Lock()
-	c.databases.down["a"] = false // Requests for it reach its later start.
+	c.databases.down["a"] = false // Requests for it reach the restarted database.
 	c.databases.mu.Unlock()
 	c.eventually(1500*time.Millisecond, "every VM has the right for b", func() bool { return c.allRight("b") })
 }
 
-// The platform accepts the promotion of a replica that answers, yet it never leads. Another
-// replica gets its turn before callers have waited for much longer than a replacement takes.
+// The platform accepts the promotion of a replica that answers, yet the replica never leads.
+// Another replica is promoted before callers have waited much longer than a replacement takes.
 func TestAnIneffectivePromotionEnds(t *testing.T) {
 	c := startCluster(t, 2)
-	c.settle()
+	c.awaitRights()
 	c.databases.mu.Lock()
 	c.databases.ineffective["b"] = true
 	c.databases.mu.Unlock()
@@ -93,11 +93,11 @@
 	c.eventually(11*time.Second, "every VM has the right for c", func() bool { return c.allRight("c") })
 }
 
-// The candidate was stopped from receiving, and starts again before its promotion takes effect: what
-// it held is gone. Another replica is promoted, and not the one that knows nothing.
-func TestACandidateThatStartsAgainIsDropped(t *testing.T) {
+// The candidate was stopped from receiving, and restarts before its promotion takes effect, so its
+// data is lost. Another replica is promoted, and not the empty one.
+func TestARestartedCandidateIsDropped(t *testing.T) {
 	c := startCluster(t, 2)
-	c.settle()
+	c.awaitRights()
 	c.registerAt("a", "b", "c")
 	c.databases.mu.Lock()
 	c.databases.ineffective["b"] = true
@@ -109,16 +109,17 @@
 	})
 	c.restart("b", "b2", false, 0)
 	c.databases.mu.Lock()
-	c.databases.down["b"] = false // Commands for it reach its later start.
+	c.databases.down["b"] = false // Commands for it reach the restarted database.
 	c.databases.mu.Unlock()
 	c.eventually(4*time.Second, "every VM has the right for c", func() bool { return c.allRight("c") })
 }
 
-// VMs start for the first time within a moment of each other. The row that one of them writes first
-// names most of them as witnesses, or its coordinator could not be replaced in time once it is lost.
+// VMs start for the first time almost simultaneously. The first row, written by one of them, names
+// most of them as witnesses; otherwise its coordinator could not be replaced in time after its
+// loss.
 func TestTheFirstRowHasWitnesses(t *testing.T) {
 	c := startCluster(t, 4)
-	c.settle()
+	c.awaitRights()
 	if n := len(c.row().Witnesses); n < 3 {
 		t.Fatalf("%d witnesses of 4 VMs", n)
 	}
--- a/internal/lead/rows.go
+++ b/internal/lead/rows.go
@@ -12,21 +12,21 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// storeAnswered notes that the store answered a call sent at began.
+// storeAnswered records that the store answered a call sent at began.
 func (l *Lead) storeAnswered(began mono.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.storeSeen = max(l.storeSeen, began)
 	for _, g := range l.coordinator.Groups() {
-		// The watch has shown every change up to its answer, so what is known of
-		// the row was still so when the call was sent.
+		// The watch has returned every change up to its answer, so the known version of the row was
+		// still current when the call was sent.
 		l.coordinator.Observe(l.coordinator.Row(g), began, l.Clock.Now())
 	}
 }
 
-// takeAll takes a whole listing over, and reports whether VMs have changed by it: of the other rows the
-// VMs learn otherwise.
-func (l *Lead) takeAll(rows []metastore.Row, at directory.Timing) bool {
+// applyListing applies a complete listing and reports whether the set of VMs has changed. Changes of
+// the remaining rows reach the other VMs by other means, see applyChange.
+func (l *Lead) applyListing(rows []metastore.Row, at directory.Timing) bool {
 	var vms []topology.VM
 	listed := false
 	for _, r := range rows {
@@ -47,44 +47,45 @@
 	}
 	if listed {
 		l.mu.Lock()
-		// The registrations are listed after the row that shows removals.
+		// The registrations are listed after the row that records removals.
 		l.registered = max(l.registered, lastRemoval(rows), 1)
 		l.mu.Unlock()
 	}
-	l.takeDecisions(rows, at.Began, listed)
+	l.applyDecisions(rows, at.Began, listed)
 	return news
 }
 
-// takeDecisions takes the duty and the groups' rows over. registered: this VM's registration was
-// there when they were read, so that they are a source of its rights.
-func (l *Lead) takeDecisions(rows []metastore.Row, began mono.Time, registered bool) {
+// applyDecisions applies the duty and the groups' rows. registered is set if this VM's registration
+// existed when they were read, which makes them a source of its rights.
+func (l *Lead) applyDecisions(rows []metastore.Row, began mono.Time, registered bool) {
 	for _, r := range rows {
 		switch {
 		case r.Key == dutyKey:
-			l.takeDuty(r, began)
+			l.applyDuty(r, began)
 		case strings.HasPrefix(r.Key, groupPrefix):
-			l.takeRow(r, began, registered)
+			l.applyRow(r, began, registered)
 		}
 	}
 }
 
-// takeChange takes one changed row over. Those of VMs matter to all VMs: groups' rows are
-// told by notices and with promises, and the duty is read by whoever needs it.
-func (l *Lead) takeChange(r metastore.Row, at directory.Timing) bool {
+// applyChange applies one changed row and reports whether to relay it. Only changes of VMs matter
+// to all VMs: groups' rows are sent in notices and with promises, and a VM that needs the duty
+// reads it.
+func (l *Lead) applyChange(r metastore.Row, at directory.Timing) bool {
 	id, ofVM := strings.CutPrefix(r.Key, vmPrefix)
 	switch {
 	case ofVM:
-		l.takeVM(topology.VMID(id), r)
+		l.applyVM(topology.VMID(id), r)
 	case r.Deleted:
 	case r.Key == dutyKey:
-		l.takeDuty(r, at.Began)
+		l.applyDuty(r, at.Began)
 	case strings.HasPrefix(r.Key, groupPrefix):
-		l.takeRow(r, at.Began, false)
+		l.applyRow(r, at.Began, false)
 	}
 	return ofVM
 }
 
-func (l *Lead) takeVM(id topology.VMID, r metastore.Row) {
+func (l *Lead) applyVM(id topology.VMID, r metastore.Row) {
 	if r.Deleted {
 		l.Directory.RemoveVM(id)
 		if id == l.self.ID && !l.isLeaving() {
@@ -100,9 +101,9 @@
 	l.Directory.SetVM(vm)
 }
 
-// takeRow takes a group's row over. A reading while this VM is registered also is a source of the
-// right: without the registration the coordinator would not wait for this VM before a promotion.
-func (l *Lead) takeRow(r metastore.Row, began mono.Time, reading bool) {
+// applyRow applies a group's row. A read while this VM is registered is also a source of rights:
+// without the registration the coordinator would not wait for this VM before a promotion.
+func (l *Lead) applyRow(r metastore.Row, began mono.Time, reading bool) {
 	var row lease.Row
 	if err := json.Unmarshal(r.Value, &row); err != nil {
 		l.Log.Error("event=row_malformed", "key", r.Key, "error", err)
@@ -116,36 +117,37 @@
 	l.adopt(&row, "store")
 	if reading {
 		l.holder.Read(row.Group, row.Version, began)
-		l.tell()
+		l.wakeWaiters()
 	}
 	l.coordinator.Observe(&row, began, l.Clock.Now())
 }
 
-// adopt takes a newer row over, whoever told it.
+// adopt adopts a row if it is newer than the known one, whatever its source.
 func (l *Lead) adopt(row *lease.Row, from string) {
 	former := l.holder.Row(row.Group)
 	if !l.holder.Adopt(row) {
 		return
 	}
-	l.adopted = l.Clock.Now()
+	l.lastAdopted = l.Clock.Now()
 	l.Directory.Relay().Expect()
 	if former == nil || former.Coordinator != row.Coordinator {
-		// It is listened for from now on: judged by when it last coordinated, it
-		// would be taken for silent at once, by all VMs.
-		l.answers[row.Coordinator] = answers{last: l.Clock.Now()}
+		// The coordinator is expected to send messages from now on. Judged by when it last
+		// coordinated, it would at once count as silent at all VMs.
+		l.coordinatorState[row.Coordinator] = coordinatorState{last: l.Clock.Now()}
 	}
 	l.Log.Info("event=row_adopted", "group", row.Group, "version", row.Version, "term", row.Term, "primary", row.Primary,
 		"coordinator", row.Coordinator, "incarnation", row.Incarnation, "open", row.Open(), "from", from)
 	if x := l.renewals[row.Coordinator]; x != nil {
-		x.sent = 0 // Ask the coordinator at once.
+		x.sent = 0 // Request a promise of the coordinator at once.
 	}
-	l.tell()
-	if from != ownChange && !l.reading && l.handedOverUnread() {
-		// It was handed over to this VM, which promises only what it has read itself.
+	l.wakeWaiters()
+	if from != ownChange && !l.reading && l.hasUnreadHandover() {
+		// The group was handed over to this VM, which only promises for rows that it has read
+		// itself.
 		l.reading = true
 		go l.read(context.Background())
 	}
 }
 
-// ownChange is where a row comes from that this VM has written itself.
+// ownChange is the source of a row that this VM has written itself.
 const ownChange = "own_change"
