--- a/internal/lead/takeover.go
+++ b/internal/lead/takeover.go
@@ -13,253 +13,258 @@
 )
 
 const (
-	// silentAfter is when a coordinator that answers nothing is in doubt: two
-	// renewals were lost, and the rights still stand.
+	// silentAfter is how long a coordinator may leave renewals unanswered before it is suspected:
+	// two renewals were lost, and the rights are still valid.
 	silentAfter = 600 * time.Millisecond
-	// hearsWithin is how lately a coordinator must have answered for a VM to say
-	// that it hears it.
-	hearsWithin = 450 * time.Millisecond
-	// storeLostSlack is how much longer than its wait a watch may take before the
-	// store counts as lost: a slow store's answer, and one retry.
+	// reachableWindow is how recently a coordinator must have sent a message for a VM to report it
+	// as reachable.
+	reachableWindow = 450 * time.Millisecond
+	// storeLostSlack is how much longer than its wait time a watch may take before the store counts
+	// as lost: one slow answer of the store and one retry.
 	storeLostSlack = 1700 * time.Millisecond
-	// opinionTime is how long opinions are waited for.
-	opinionTime = 150 * time.Millisecond
-	// opinionsAsked is how many VMs are asked at most: a sample of all data centres tells as much
-	// as all VMs, which would each answer each that asks.
-	opinionsAsked = 24
-	// storeFresh is how lately the store must have answered a VM that takes a silent
-	// coordinator's place: without a promise it reads the rows several times within it.
-	storeFresh = 1500 * time.Millisecond
-	// regainTime is how long a coordinator may take to learn that the store is back, and to say so: a
-	// call that hangs, the next one, and a renewal.
-	regainTime = 1300 * time.Millisecond
-	// uselessPatience is how many times longer turns are after a coordinator that only lacks the store.
-	uselessPatience = 3
+	// opinionTimeout is how long to wait for opinions.
+	opinionTimeout = 150 * time.Millisecond
+	// opinionSample is the maximum number of VMs asked. A sample from all data centres is as
+	// informative as all VMs, each of which would have to answer every VM that asks.
+	opinionSample = 24
+	// storeFreshness is how recently the store must have answered a VM that takes over from a
+	// silent coordinator: without a promise the VM reads the rows several times within that time.
+	storeFreshness = 1500 * time.Millisecond
+	// storeRegainTime is how long a coordinator may take to detect that the store is back and to
+	// report it: one hanging call, the next call, and a renewal.
+	storeRegainTime = 1300 * time.Millisecond
+	// storeLostDelayFactor multiplies the VMs' takeover delays if the coordinator answers and only
+	// lacks the store.
+	storeLostDelayFactor = 3
 )
 
-// silence is what is known of a coordinator that is of no use.
-type silence struct {
-	// asked is when the others were asked about it, and sample how many of them.
+// inquiry tracks the opinions requested about a suspected coordinator.
+type inquiry struct {
+	// asked is when the other VMs were asked, and sample how many of them.
 	asked  mono.Time
 	sample int
-	// deaf and hearing are those that answered that they don't hear it, or do.
-	deaf, hearing map[topology.VMID]bool
+	// unreachable and reachable are the VMs that reported the coordinator as such.
+	unreachable, reachable map[topology.VMID]bool
 }
 
-// answers is when a coordinator last answered a renewal, and whether it reached the
+// coordinatorState records when a coordinator last answered a renewal, and whether it reached the
 // store then.
-type answers struct {
+type coordinatorState struct {
 	last mono.Time
-	// useless is since when it has answered without reaching the store; 0: it does. reached is since
-	// when the store has answered this VM meanwhile.
-	useless, reached mono.Time
+	// storeLostSince is the time since which the coordinator has answered without reaching the
+	// store; 0 if it reaches it. ownStoreSince is the time since which the store has answered this
+	// VM meanwhile.
+	storeLostSince, ownStoreSince mono.Time
 }
 
-// coordinatorHeard notes an answer of a coordinator.
-func (l *Lead) coordinatorHeard(vm topology.VMID, storeLost bool, now mono.Time) {
-	a := l.answers[vm]
+// noteAnswer records an answer of a coordinator.
+func (l *Lead) noteAnswer(vm topology.VMID, storeLost bool, now mono.Time) {
+	a := l.coordinatorState[vm]
 	a.last = now
 	switch {
 	case !storeLost:
-		a.useless, a.reached = 0, 0
-	case a.useless == 0:
-		a.useless = now
+		a.storeLostSince, a.ownStoreSince = 0, 0
+	case a.storeLostSince == 0:
+		a.storeLostSince = now
 	}
-	l.answers[vm] = a
-	delete(l.silences, vm)
+	l.coordinatorState[vm] = a
+	delete(l.inquiries, vm)
 }
 
-// takeOvers takes the place of coordinators that failed, for all their groups at once:
-// one VM then has them all, and with them the duty to promote.
-func (l *Lead) takeOvers(ctx context.Context, now mono.Time) {
+// takeOverFailed takes over from failed coordinators, all groups of one at once, so that one VM
+// then coordinates them all and holds the duty to promote.
+func (l *Lead) takeOverFailed(ctx context.Context, now mono.Time) {
 	l.mu.Lock()
-	of := l.groupsByCoordinator()
-	for vm, groups := range of {
-		take, ask, why := l.judgeCoordinator(vm, now)
+	byCoordinator := l.groupsByCoordinator()
+	for vm, groups := range byCoordinator {
+		take, ask, reason := l.checkCoordinator(vm, now)
 		if ask {
-			l.askOthers(vm, now)
+			l.askForOpinions(vm, now)
 		}
 		if take {
-			go l.takeOver(ctx, vm, groups, why)
+			go l.takeOver(ctx, vm, groups, reason)
 		}
 	}
 	l.mu.Unlock()
 }
 
-// groupsByCoordinator lists the groups of all coordinators but this start of this VM.
+// groupsByCoordinator lists the groups of all coordinators except the current incarnation of this
+// VM.
 func (l *Lead) groupsByCoordinator() map[topology.VMID][]topology.GroupID {
-	of := map[topology.VMID][]topology.GroupID{}
+	byCoordinator := map[topology.VMID][]topology.GroupID{}
 	for _, group := range l.groups() {
 		row := l.holder.Row(group)
 		if row != nil && (row.Coordinator != l.self.ID || row.Incarnation < l.self.Incarnation) {
-			of[row.Coordinator] = append(of[row.Coordinator], group)
+			byCoordinator[row.Coordinator] = append(byCoordinator[row.Coordinator], group)
 		}
 	}
-	return of
+	return byCoordinator
 }
 
-// judgeCoordinator decides whether to ask the others about a coordinator, or to take
-// its place.
-func (l *Lead) judgeCoordinator(vm topology.VMID, now mono.Time) (take, ask bool, why string) {
+// checkCoordinator decides whether to ask the other VMs about a coordinator or to take over from
+// it.
+func (l *Lead) checkCoordinator(vm topology.VMID, now mono.Time) (take, ask bool, reason string) {
 	if l.leaving {
 		return false, false, ""
 	}
 	if vm == l.self.ID {
-		// An earlier start of this VM: nobody else knows sooner that it has ended.
+		// It is an earlier incarnation of this VM, and no other VM can learn sooner that it has
+		// ended.
 		return !l.storeLost(now), false, "started_again"
 	}
-	a, known := l.answers[vm]
+	a, known := l.coordinatorState[vm]
 	if !known {
-		l.answers[vm] = answers{last: now}
+		l.coordinatorState[vm] = coordinatorState{last: now}
 		return false, false, ""
 	}
-	if a.useless == 0 && now.Sub(a.last) < silentAfter {
-		return false, false, "" // The usual case, many times a second.
+	if a.storeLostSince == 0 && now.Sub(a.last) < silentAfter {
+		return false, false, "" // The usual case, checked many times a second.
 	}
-	turn := l.delay(vm)
-	if a.useless != 0 && l.isUseless(vm, turn, now) {
-		l.answers[vm] = answers{last: now}
+	ownDelay := l.takeoverDelay(vm)
+	if a.storeLostSince != 0 && l.replaceWithoutStore(vm, ownDelay, now) {
+		l.coordinatorState[vm] = coordinatorState{last: now}
 		return true, false, storeLost
 	}
-	delay := silentAfter + turn
-	if now.Sub(max(a.last, l.storeBack)) < delay || now.Sub(l.storeSeen) > storeFresh {
+	takeoverDelay := silentAfter + ownDelay
+	if now.Sub(max(a.last, l.storeRegained)) < takeoverDelay || now.Sub(l.storeSeen) > storeFreshness {
 		return false, false, ""
 	}
-	s := l.silences[vm]
+	s := l.inquiries[vm]
 	if s == nil {
 		return false, true, ""
 	}
-	if now.Sub(s.asked) < opinionTime {
+	if now.Sub(s.asked) < opinionTimeout {
 		return false, false, ""
 	}
-	delete(l.silences, vm)
+	delete(l.inquiries, vm)
 	return l.countOpinions(vm, s, now)
 }
 
-// isUseless reports whether a coordinator that does not reach the store is to be replaced: only by a VM
-// that reaches it itself. Its promises go on meanwhile, so the VMs look in turn and without haste
-// whether the store answers them, and if it does so again, the coordinator has time to say the same.
-func (l *Lead) isUseless(vm topology.VMID, turn time.Duration, now mono.Time) bool {
-	a := l.answers[vm]
-	if now.Sub(a.useless) < silentAfter+uselessPatience*turn {
+// replaceWithoutStore reports whether to replace a coordinator that does not reach the store. Only
+// a VM that reaches the store itself does so. The coordinator's promises continue meanwhile, so the
+// VMs check the store one after the other, with long delays. If the store answers this VM again,
+// the coordinator gets time to report the same.
+func (l *Lead) replaceWithoutStore(vm topology.VMID, ownDelay time.Duration, now mono.Time) bool {
+	a := l.coordinatorState[vm]
+	if now.Sub(a.storeLostSince) < silentAfter+storeLostDelayFactor*ownDelay {
 		return false
 	}
 	switch {
-	case now.Sub(l.storeSeen) > storeFresh:
-		l.probe, a.reached = true, 0
-	case a.reached == 0:
-		a.reached = now
+	case now.Sub(l.storeSeen) > storeFreshness:
+		l.probeStore, a.ownStoreSince = true, 0
+	case a.ownStoreSince == 0:
+		a.ownStoreSince = now
 	}
-	l.answers[vm] = a
-	return a.reached != 0 && now.Sub(a.reached) >= regainTime
+	l.coordinatorState[vm] = a
+	return a.ownStoreSince != 0 && now.Sub(a.ownStoreSince) >= storeRegainTime
 }
 
-// countOpinions takes over only with half of those asked, which must not hear the
-// coordinator either: a VM that is cut off alone would take every group from those
-// that go on well, and nobody could follow it.
-func (l *Lead) countOpinions(vm topology.VMID, s *silence, now mono.Time) (take, ask bool, why string) {
-	if len(s.hearing) == 0 && 2*len(s.deaf) >= s.sample {
-		l.answers[vm] = answers{last: now}
+// countOpinions takes over only if at least half of the VMs asked report the coordinator as
+// unreachable and none as reachable. Otherwise a single VM that is cut off would take every group
+// from VMs that work well, and none of them could reach it as their coordinator.
+func (l *Lead) countOpinions(vm topology.VMID, s *inquiry, now mono.Time) (take, ask bool, reason string) {
+	if len(s.reachable) == 0 && 2*len(s.unreachable) >= s.sample {
+		l.coordinatorState[vm] = coordinatorState{last: now}
 		return true, false, "silent"
 	}
-	l.Log.Info("event=takeover_put_off", "coordinator", vm, "hearing", len(s.hearing), "deaf", len(s.deaf), "asked", s.sample,
-		"silent_for", now.Sub(l.answers[vm].last))
+	l.Log.Info("event=takeover_deferred", "coordinator", vm, "reachable", len(s.reachable), "unreachable", len(s.unreachable), "asked", s.sample,
+		"silent_for", now.Sub(l.coordinatorState[vm].last))
 	return false, false, ""
 }
 
-// askOthers asks a sample of the other VMs whether they hear a coordinator.
-func (l *Lead) askOthers(about topology.VMID, now mono.Time) {
+// askForOpinions asks a sample of the other VMs whether they can reach a coordinator.
+func (l *Lead) askForOpinions(about topology.VMID, now mono.Time) {
 	others := slices.DeleteFunc(slices.Clone(l.Directory.VMs()), func(vm topology.VM) bool { return vm.ID == l.self.ID || vm.ID == about })
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	sample := fromEachDataCentre(others, opinionsAsked)
-	l.silences[about] = &silence{asked: now, sample: len(sample), deaf: map[topology.VMID]bool{}, hearing: map[topology.VMID]bool{}}
+	sample := spreadOverDataCentres(others, opinionSample)
+	l.inquiries[about] = &inquiry{asked: now, sample: len(sample), unreachable: map[topology.VMID]bool{}, reachable: map[topology.VMID]bool{}}
 	m := &message{Kind: question, From: l.self.ID, Incarnation: l.self.Incarnation, About: about}
 	go l.sendToMany(sample, m)
 }
 
-// hears reports whether this VM hears another one. Its messages count, and not when it was
-// adopted as a coordinator: a VM that has just started knows it from the store only, and by
-// its word alone a silent one was kept for seconds.
-func (l *Lead) hears(vm topology.VMID) bool {
-	heard := l.heard[vm]
-	return heard != 0 && l.Clock.Now().Sub(heard) < hearsWithin
+// reachable reports whether this VM has recently received messages from another VM. The adoption
+// of the VM as a coordinator does not count: a VM that has just started knows the coordinator from
+// the store only, and a silent coordinator stayed in place for seconds on its opinion alone.
+func (l *Lead) reachable(vm topology.VMID) bool {
+	lastMessage := l.lastMessage[vm]
+	return lastMessage != 0 && l.Clock.Now().Sub(lastMessage) < reachableWindow
 }
 
 func (l *Lead) handleQuestion(from string, m *message) {
 	l.mu.Lock()
-	hears := l.hears(m.About)
+	reachable := l.reachable(m.About)
 	l.mu.Unlock()
-	l.reply(from, m.From, &message{Kind: opinion, From: l.self.ID, Incarnation: l.self.Incarnation, About: m.About, Hears: hears})
+	l.reply(from, m.From, &message{Kind: opinion, From: l.self.ID, Incarnation: l.self.Incarnation, About: m.About, Reachable: reachable})
 }
 
 func (l *Lead) handleOpinion(m *message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.silences[m.About]
+	s := l.inquiries[m.About]
 	switch {
 	case s == nil:
-	case m.Hears:
-		s.hearing[m.From] = true
+	case m.Reachable:
+		s.reachable[m.From] = true
 	default:
-		s.deaf[m.From] = true
+		s.unreachable[m.From] = true
 	}
 }
 
-// start runs a change of a group unless one is under way, and reports whether it does.
-func (l *Lead) start(group topology.GroupID, change func()) bool {
+// startChange runs a change of a group in the background unless one is already in progress, and
+// reports whether it was started.
+func (l *Lead) startChange(group topology.GroupID, change func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.working[group] {
+	if l.changing[group] {
 		return false
 	}
-	l.working[group] = true
+	l.changing[group] = true
 	go func() {
 		defer func() {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			delete(l.working, group)
+			delete(l.changing, group)
 		}()
 		change()
 	}()
 	return true
 }
 
-// storeLost is why a coordinator is replaced that answers, but can't change a row.
+// storeLost is the reason to replace a coordinator that answers but cannot change a row.
 const storeLost = "store_lost"
 
-func (l *Lead) takeOver(ctx context.Context, from topology.VMID, groups []topology.GroupID, why string) {
-	if why == storeLost && !l.stillCoordinates(ctx, from) {
+func (l *Lead) takeOver(ctx context.Context, from topology.VMID, groups []topology.GroupID, reason string) {
+	if reason == storeLost && !l.stillCoordinates(ctx, from) {
 		return
 	}
 	l.mu.Lock()
 	if from != l.self.ID {
-		l.takenFrom[from] = l.Clock.Now()
+		l.lastTakeover[from] = l.Clock.Now()
 	}
 	l.mu.Unlock()
-	taken, err := l.takeFirst(ctx, from, groups[0], why)
+	taken, err := l.takeOverFirstGroup(ctx, from, groups[0], reason)
 	if err != nil {
-		l.Log.Info("event=takeover_put_off", "coordinator", from, "groups", len(groups), "error", err)
+		l.Log.Info("event=takeover_deferred", "coordinator", from, "groups", len(groups), "error", err)
 		return
 	}
-	taken = append(taken, l.takeGroups(ctx, from, groups[1:], why)...)
-	l.notify(taken...) // One message of all: each is answered by all VMs.
-	if len(taken) == 0 || l.dutyIsElsewhere() {
-		return // Another VM has the duty; the groups go there.
+	taken = append(taken, l.takeOverGroups(ctx, from, groups[1:], reason)...)
+	l.notify(taken...) // One message for all groups, as every VM answers each message.
+	if len(taken) == 0 || l.dutyHeldElsewhere() {
+		return // Another VM holds the duty, and the groups will be handed over to it.
 	}
-	// The duty comes along now, so that its waiting time has passed when a primary
-	// fails.
+	// Claiming the duty now lets its settling time pass before a primary fails.
 	if _, err := l.acquireDuty(ctx); err != nil {
 		l.Log.Info("event=duty_not_claimed", "error", err)
 	}
 }
 
-// stillCoordinates reads from the store whether a VM coordinates a group.
+// stillCoordinates reads from the store whether a VM still coordinates any group.
 //
-// The rows known here may be old: VMs that come out of a cut with a coordinator that was replaced
-// meanwhile would all try to take its groups over.
+// The locally known rows may be old: when a partition heals, the VMs that were cut off together
+// with a coordinator that has been replaced meanwhile would all try to take over its groups.
 func (l *Lead) stillCoordinates(ctx context.Context, vm topology.VMID) bool {
 	if err := l.readDecisions(ctx); err != nil {
-		l.Log.Info("event=takeover_put_off", "coordinator", vm, "error", err)
+		l.Log.Info("event=takeover_deferred", "coordinator", vm, "error", err)
 		return false
 	}
 	l.mu.Lock()
@@ -267,17 +272,18 @@
 	return len(l.groupsByCoordinator()[vm]) > 0
 }
 
-// takeFirst takes one group. It fails if the store takes no change, and if another VM has taken the
-// group: that one takes the others as well, and two that go on would scatter them.
-func (l *Lead) takeFirst(ctx context.Context, from topology.VMID, group topology.GroupID, why string) ([]*lease.Row, error) {
+// takeOverFirstGroup takes over one group. It fails if the store rejects the change or another VM
+// has taken the group: that VM takes the remaining groups too, and two VMs that continue would
+// split them between each other.
+func (l *Lead) takeOverFirstGroup(ctx context.Context, from topology.VMID, group topology.GroupID, reason string) ([]*lease.Row, error) {
 	var row *lease.Row
 	var err error
 	done := make(chan struct{})
-	if !l.start(group, func() {
+	if !l.startChange(group, func() {
 		defer close(done)
-		row, err = l.takeGroup(ctx, from, group, why)
+		row, err = l.takeOverGroup(ctx, from, group, reason)
 	}) {
-		return nil, nil // A change of it is under way; the others are free.
+		return nil, nil // A change of this group is in progress; the others can be taken over.
 	}
 	<-done
 	if err != nil {
@@ -286,16 +292,16 @@
 	return []*lease.Row{row}, nil
 }
 
-// takeGroups takes groups over at once and returns the rows of those that it got.
-func (l *Lead) takeGroups(ctx context.Context, from topology.VMID, groups []topology.GroupID, why string) []*lease.Row {
+// takeOverGroups takes over groups in parallel and returns the rows of those that it obtained.
+func (l *Lead) takeOverGroups(ctx context.Context, from topology.VMID, groups []topology.GroupID, reason string) []*lease.Row {
 	var done sync.WaitGroup
 	var mu sync.Mutex
 	var taken []*lease.Row
 	for _, group := range groups {
 		done.Add(1)
-		if !l.start(group, func() {
+		if !l.startChange(group, func() {
 			defer done.Done()
-			if row, err := l.takeGroup(ctx, from, group, why); err == nil {
+			if row, err := l.takeOverGroup(ctx, from, group, reason); err == nil {
 				mu.Lock()
 				defer mu.Unlock()
 				taken = append(taken, row)
@@ -308,24 +314,24 @@
 	return taken
 }
 
-// takeGroup makes this VM a group's coordinator in place of another and returns the row.
+// takeOverGroup makes this VM a group's coordinator in place of another one and returns the row.
 //
-// Another VM may have taken the group since the takeover was decided; it is not taken from that one.
-func (l *Lead) takeGroup(ctx context.Context, from topology.VMID, group topology.GroupID, why string) (*lease.Row, error) {
+// A third VM may have taken the group since the takeover was decided; then the group is left to it.
+func (l *Lead) takeOverGroup(ctx context.Context, from topology.VMID, group topology.GroupID, reason string) (*lease.Row, error) {
 	row := l.Row(group)
 	if row == nil || row.Coordinator != from {
-		return nil, errOvertaken
+		return nil, errSuperseded
 	}
 	next := row.TakenBy(l.self.ID, l.self.Incarnation, l.self.ID, l.witnesses())
 	err := l.write(ctx, next)
-	l.Log.Info("event=coordinator_taken_over", "group", group, "from", row.Coordinator, "why", why, "version", next.Version, "error", err)
+	l.Log.Info("event=coordinator_taken_over", "group", group, "from", row.Coordinator, "reason", reason, "version", next.Version, "error", err)
 	if err != nil {
 		return nil, err
 	}
 	return next, nil
 }
 
-// handOver gives a group to another VM.
+// handOver hands a group over to another VM.
 func (l *Lead) handOver(ctx context.Context, group topology.GroupID, to topology.VM) {
 	row := l.Row(group)
 	if row == nil || row.Coordinator != l.self.ID || to.ID == "" {
@@ -340,13 +346,13 @@
 	l.Log.Info("event=coordinator_handed_over", "group", group, "to", to.ID, "error", err)
 }
 
-// successor is the first other VM that was heard lately.
+// successor returns the first other VM by rank that is alive.
 func (l *Lead) successor() topology.VM {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Clock.Now()
 	for _, id := range l.rank() {
-		if vm, ok := l.Directory.VM(id); ok && id != l.self.ID && l.lives(vm, now) {
+		if vm, ok := l.Directory.VM(id); ok && id != l.self.ID && l.isAlive(vm, now) {
 			return vm
 		}
 	}
--- a/internal/lead/takeover_test.go
+++ b/internal/lead/takeover_test.go
@@ -17,7 +17,7 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// writeCounter counts changes that are tried.
+// writeCounter counts attempted writes.
 type writeCounter struct {
 	metastore.Store
 	writes atomic.Int32
@@ -28,10 +28,11 @@
 	return w.Store.Put(ctx, table, key, value, expected)
 }
 
-// A data centre is cut off with the coordinator, which says for seconds that it has no store.
-// Meanwhile the VMs elsewhere replace it. As the cut heals, a VM of the data centre takes the
-// coordinator's place by what it knew: with 29 VMs and 8 groups that was 232 changes at once,
-// all refused. It now reads the rows first, and leaves the groups where they are.
+// A data centre is cut off together with the coordinator, which reports for seconds that it does
+// not reach the store. Meanwhile the VMs elsewhere replace it. When the partition heals, a VM of
+// that data centre takes over from the former coordinator based on outdated rows: 29 VMs and 8
+// groups made 232 changes at once, all refused. Now the VM reads the rows first and leaves the
+// groups where they are.
 func TestAVMThatWasCutOffReadsBeforeItTakesOver(t *testing.T) {
 	ctx := context.Background()
 	memory := metastore.NewMemory()
@@ -59,30 +60,31 @@
 	l.holder.Adopt(known)
 	l.takeOver(ctx, "vm-1", []topology.GroupID{"g"}, storeLost)
 	if n := store.writes.Load(); n != 0 {
-		t.Fatalf("%d changes tried of a group that is another VM's", n)
+		t.Fatalf("%d changes attempted of another VM's group", n)
 	}
 	if row := l.Row("g"); row.Coordinator != "vm-2" {
-		t.Fatalf("knows %+v", row)
+		t.Fatalf("known row %+v", row)
 	}
 }
 
-// refusing fails each change.
-type refusing struct {
+// failingStore fails each write.
+type failingStore struct {
 	writeCounter
 }
 
-func (r *refusing) Put(context.Context, string, string, []byte, uint64) (uint64, error) {
+func (r *failingStore) Put(context.Context, string, string, []byte, uint64) (uint64, error) {
 	r.writes.Add(1)
 	return 0, errors.New("reset")
 }
 
-// The store is out and the coordinator of many groups is lost. The VM whose turn it is finds out
-// by one group that no change is made, and leaves the store alone with the others: from each of
-// 89 VMs and for 8 groups that were thousands of calls in the seconds in which it came back.
-func TestAStoreThatMakesNoChangeIsAskedForOneGroup(t *testing.T) {
+// The store is out and the coordinator of many groups is lost. The VM whose takeover delay has
+// passed learns from one group that the store accepts no change, and does not try the others.
+// Otherwise 89 VMs with 8 groups sent thousands of calls in the seconds in which the store came
+// back.
+func TestAFailingStoreIsTriedWithOneGroupOnly(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
-	store := &refusing{writeCounter{Store: metastore.NewMemory()}}
+	store := &failingStore{writeCounter{Store: metastore.NewMemory()}}
 	d := directory.New(topology.VM{ID: "vm-3", Incarnation: 3})
 	l := New(Options{Directory: d, Store: store, Clock: mono.System{}, Log: slog.New(slog.DiscardHandler)})
 	groups := []topology.GroupID{"g1", "g2", "g3", "g4", "g5", "g6", "g7", "g8"}
@@ -91,17 +93,17 @@
 	}
 	l.takeOver(ctx, "vm-1", groups, "silent")
 	if n := store.writes.Load(); n > 4 {
-		t.Fatalf("%d changes tried within 300 ms", n)
+		t.Fatalf("%d changes attempted within 300 ms", n)
 	}
 }
 
-// overtaken has another VM take a group over just before each change of this one.
-type overtaken struct {
+// rivalStore lets another VM take a group over just before each write of this one.
+type rivalStore struct {
 	writeCounter
 	by topology.VMID
 }
 
-func (o *overtaken) Put(ctx context.Context, table, key string, _ []byte, _ uint64) (uint64, error) {
+func (o *rivalStore) Put(ctx context.Context, table, key string, _ []byte, _ uint64) (uint64, error) {
 	o.writes.Add(1)
 	group := topology.GroupID(key[len(groupPrefix):])
 	known := &lease.Row{Group: group, Version: 1, Term: 1, Primary: "a", Coordinator: "vm-1", Incarnation: 1, Fence: 1}
@@ -115,10 +117,10 @@
 	return 0, metastore.ErrConflict
 }
 
-// Guards against groups that are scattered over several coordinators: the VM that loses the first
-// group to another one leaves the others to it.
+// Guards against groups that are split over several coordinators: a VM that loses the first group
+// to another VM leaves the remaining groups to it.
 func TestAVMThatLosesTheFirstGroupLeavesTheOthers(t *testing.T) {
-	store := &overtaken{writeCounter: writeCounter{Store: metastore.NewMemory()}, by: "vm-2"}
+	store := &rivalStore{writeCounter: writeCounter{Store: metastore.NewMemory()}, by: "vm-2"}
 	d := directory.New(topology.VM{ID: "vm-3", Incarnation: 3})
 	l := New(Options{Directory: d, Store: store, Clock: mono.System{}, Log: slog.New(slog.DiscardHandler)})
 	groups := []topology.GroupID{"g1", "g2", "g3", "g4"}
@@ -127,12 +129,13 @@
 	}
 	l.takeOver(t.Context(), "vm-1", groups, "silent")
 	if n := store.writes.Load(); n != 1 {
-		t.Fatalf("%d changes tried", n)
+		t.Fatalf("%d changes attempted", n)
 	}
 }
 
-// crowd is a VM among many that knows a coordinator and heard it last a minute ago.
-func crowd(t *testing.T, vms int) (*Lead, *mono.Manual) {
+// newLeadAmong returns a VM among many others that last heard from a known coordinator a minute
+// ago.
+func newLeadAmong(t *testing.T, vms int) (*Lead, *mono.Manual) {
 	t.Helper()
 	clock := &mono.Manual{T: mono.Time(time.Hour)}
 	d := directory.New(vmNumber(1))
@@ -140,7 +143,7 @@
 		d.SetVM(vmNumber(i))
 	}
 	l := New(Options{Directory: d, Clock: clock, Log: slog.New(slog.DiscardHandler), Transport: silentTransport(t)})
-	l.answers["vm-0"] = answers{last: clock.Now().Add(-time.Minute)}
+	l.coordinatorState["vm-0"] = coordinatorState{last: clock.Now().Add(-time.Minute)}
 	l.storeSeen = clock.Now()
 	return l, clock
 }
@@ -155,98 +158,99 @@
 	return transport
 }
 
-// Guards against questions from all VMs to all VMs: a sample of all data centres is asked.
+// Guards against questions from all VMs to all VMs: only a sample from all data centres is asked.
 func TestASampleIsAskedAboutACoordinator(t *testing.T) {
-	l, clock := crowd(t, 300)
-	if _, ask, _ := l.judgeCoordinator("vm-0", clock.Now()); !ask {
-		t.Fatal("nobody is asked")
+	l, clock := newLeadAmong(t, 300)
+	if _, ask, _ := l.checkCoordinator("vm-0", clock.Now()); !ask {
+		t.Fatal("no VM is asked")
 	}
-	l.askOthers("vm-0", clock.Now())
-	if n := l.silences["vm-0"].sample; n != opinionsAsked {
+	l.askForOpinions("vm-0", clock.Now())
+	if n := l.inquiries["vm-0"].sample; n != opinionSample {
 		t.Fatalf("%d VMs asked", n)
 	}
-	sample := fromEachDataCentre(l.Directory.VMs(), opinionsAsked)
+	sample := spreadOverDataCentres(l.Directory.VMs(), opinionSample)
 	in := map[topology.DataCentre]int{}
 	for _, id := range sample {
 		vm, _ := l.Directory.VM(id)
 		in[vm.DataCentre]++
 	}
-	if len(in) != 3 || in["dc-0"] != opinionsAsked/3 {
+	if len(in) != 3 || in["dc-0"] != opinionSample/3 {
 		t.Fatalf("asked %v", in)
 	}
 }
 
-// Guards against takeovers by all VMs at once as the store returns: their turns begin then.
-func TestTurnsBeginAsTheStoreReturns(t *testing.T) {
-	l, clock := crowd(t, 300)
-	l.storeBack = clock.Now()
-	turn := l.delay("vm-0")
-	if turn == 0 {
-		t.Fatal("the first VM in order shows nothing")
+// Guards against simultaneous takeovers by all VMs when the store returns: their takeover delays
+// start then.
+func TestTakeoverDelaysRestartWhenTheStoreReturns(t *testing.T) {
+	l, clock := newLeadAmong(t, 300)
+	l.storeRegained = clock.Now()
+	ownDelay := l.takeoverDelay("vm-0")
+	if ownDelay == 0 {
+		t.Fatal("the first VM by rank has no delay to test")
 	}
-	for end := clock.Now().Add(silentAfter + turn); clock.Now().Before(end); clock.T = clock.T.Add(10 * time.Millisecond) {
+	for end := clock.Now().Add(silentAfter + ownDelay); clock.Now().Before(end); clock.T = clock.T.Add(10 * time.Millisecond) {
 		l.storeSeen = clock.Now()
-		if take, ask, _ := l.judgeCoordinator("vm-0", clock.Now()); take || ask {
-			t.Fatalf("its turn came %v early", end.Sub(clock.Now()))
+		if take, ask, _ := l.checkCoordinator("vm-0", clock.Now()); take || ask {
+			t.Fatalf("it acted %v before its takeover delay had passed", end.Sub(clock.Now()))
 		}
 	}
-	if _, ask, _ := l.judgeCoordinator("vm-0", clock.Now()); !ask {
-		t.Fatal("its turn never comes")
+	if _, ask, _ := l.checkCoordinator("vm-0", clock.Now()); !ask {
+		t.Fatal("it never acts")
 	}
 }
 
-// Guards against changes tried in vain: the store has not answered this VM since the coordinator
-// fell silent.
+// Guards against useless changes: the store has not answered this VM since the coordinator became
+// silent.
 func TestNobodyTakesOverWithoutTheStore(t *testing.T) {
-	l, clock := crowd(t, 300)
-	l.storeSeen = clock.Now().Add(-2 * storeFresh)
-	if take, ask, _ := l.judgeCoordinator("vm-0", clock.Now()); take || ask {
-		t.Fatal("it would take over")
+	l, clock := newLeadAmong(t, 300)
+	l.storeSeen = clock.Now().Add(-2 * storeFreshness)
+	if take, ask, _ := l.checkCoordinator("vm-0", clock.Now()); take || ask {
+		t.Fatal("it takes over")
 	}
 }
 
-// Guards against a coordinator that is replaced as the store returns to all: it has time to say so.
-// One that alone lacks the store is replaced.
-func TestACoordinatorMaySayThatTheStoreIsBack(t *testing.T) {
-	l, clock := crowd(t, 300)
+// Guards against replacing the coordinator when the store returns for all VMs: it gets time to
+// report that. A coordinator that alone lacks the store is replaced.
+func TestACoordinatorHasTimeToReportTheStore(t *testing.T) {
+	l, clock := newLeadAmong(t, 300)
 	l.storeSeen = 0
 	since := clock.Now()
-	l.coordinatorHeard("vm-0", true, since)
-	turn := uselessPatience * l.delay("vm-0")
-	clock.T = clock.T.Add(silentAfter + turn)
-	if take, _, _ := l.judgeCoordinator("vm-0", clock.Now()); take || !l.probe {
-		t.Fatalf("takes over %v, looks for the store %v", take, l.probe)
+	l.noteAnswer("vm-0", true, since)
+	ownDelay := storeLostDelayFactor * l.takeoverDelay("vm-0")
+	clock.T = clock.T.Add(silentAfter + ownDelay)
+	if take, _, _ := l.checkCoordinator("vm-0", clock.Now()); take || !l.probeStore {
+		t.Fatalf("takes over %v, probes the store %v", take, l.probeStore)
 	}
 	l.storeSeen = clock.Now()
-	if take, _, _ := l.judgeCoordinator("vm-0", clock.Now()); take {
-		t.Fatal("it takes over as the store returns")
+	if take, _, _ := l.checkCoordinator("vm-0", clock.Now()); take {
+		t.Fatal("it takes over when the store returns")
 	}
 	for range 5 {
-		clock.T = clock.T.Add(regainTime / 5)
+		clock.T = clock.T.Add(storeRegainTime / 5)
 		l.storeSeen = clock.Now()
 	}
-	if take, _, why := l.judgeCoordinator("vm-0", clock.Now()); !take || why != storeLost {
+	if take, _, reason := l.checkCoordinator("vm-0", clock.Now()); !take || reason != storeLost {
 		t.Fatal("it never takes over")
 	}
-	l.coordinatorHeard("vm-0", true, clock.Now())
-	l.coordinatorHeard("vm-0", false, clock.Now())
-	if take, _, _ := l.judgeCoordinator("vm-0", clock.Now()); take {
+	l.noteAnswer("vm-0", true, clock.Now())
+	l.noteAnswer("vm-0", false, clock.Now())
+	if take, _, _ := l.checkCoordinator("vm-0", clock.Now()); take {
 		t.Fatal("it takes over from one that reaches the store")
 	}
 }
 
-// Guards against groups that are scattered: another VM has taken the coordinator's place since this one
-// decided to.
-func TestAGroupIsTakenFromTheCoordinatorThatFailedOnly(t *testing.T) {
+// Guards against groups that are split over several coordinators: another VM has taken over from
+// the coordinator since this one decided to.
+func TestAGroupIsTakenOnlyFromTheFailedCoordinator(t *testing.T) {
 	store := &writeCounter{Store: metastore.NewMemory()}
 	d := directory.New(topology.VM{ID: "vm-3", Incarnation: 3})
 	l := New(Options{Directory: d, Store: store, Clock: mono.System{}, Log: slog.New(slog.DiscardHandler)})
 	known := &lease.Row{Group: "g", Version: 1, Term: 1, Primary: "a", Coordinator: "vm-1", Incarnation: 1, Fence: 1}
 	l.holder.Adopt(known.TakenBy("vm-2", 2, "vm-2", nil))
-	if _, err := l.takeGroup(t.Context(), "vm-1", "g", "silent"); !errors.Is(err, errOvertaken) {
+	if _, err := l.takeOverGroup(t.Context(), "vm-1", "g", "silent"); !errors.Is(err, errSuperseded) {
 		t.Fatal(err)
 	}
 	if n := store.writes.Load(); n != 0 {
-		t.Fatalf("%d changes tried", n)
+		t.Fatalf("%d changes attempted", n)
 	}
 }
--- a/internal/lead/traffic_test.go
+++ b/internal/lead/traffic_test.go
@@ -19,43 +19,43 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// calm is the twin of databases of many groups, which all work.
-type calm struct{}
+// healthyFakes fakes the databases of many groups, none of which fails.
+type healthyFakes struct{}
 
-func (calm) Status(_ context.Context, t topology.Target) (target.Status, error) {
+func (healthyFakes) Status(_ context.Context, t topology.Target) (target.Status, error) {
 	return target.Status{Primary: strings.HasSuffix(string(t.ID), "-a"), Term: 1, Received: position.Position{Term: 1, Index: 9}}, nil
 }
 
-func (c calm) StopReceiving(ctx context.Context, t topology.Target, _ uint64) (target.Status, error) {
+func (c healthyFakes) StopReceiving(ctx context.Context, t topology.Target, _ uint64) (target.Status, error) {
 	return c.Status(ctx, t)
 }
 
-func (c calm) Resume(ctx context.Context, t topology.Target) (target.Status, error) {
+func (c healthyFakes) Resume(ctx context.Context, t topology.Target) (target.Status, error) {
 	return c.Status(ctx, t)
 }
 
-func (c calm) StepDown(ctx context.Context, t topology.Target, _ uint64) (target.Status, error) {
+func (c healthyFakes) StepDown(ctx context.Context, t topology.Target, _ uint64) (target.Status, error) {
 	return c.Status(ctx, t)
 }
 
-func (calm) Promote(context.Context, topology.GroupID, topology.TargetID, topology.VMID, uint64) error {
+func (healthyFakes) Promote(context.Context, topology.GroupID, topology.TargetID, topology.VMID, uint64) error {
 	return nil
 }
 
-func (calm) Load(topology.TargetID) (target.Load, bool) {
+func (healthyFakes) Load(topology.TargetID) (target.Load, bool) {
 	return target.Load{LastAnswer: mono.System{}.Now()}, true
 }
-func (calm) Starved() []topology.TargetID { return nil }
-func (calm) Yield([]topology.TargetID)    {}
+func (healthyFakes) Starved() []topology.TargetID { return nil }
+func (healthyFakes) Yield([]topology.TargetID)    {}
 
-// Newest, Add and Renew are lead.Positions.
-func (calm) Newest(topology.GroupID) (routing.Sample, bool) {
+// Newest, Add and Renew implement lead.Positions.
+func (healthyFakes) Newest(topology.GroupID) (routing.Sample, bool) {
 	return routing.Sample{Begun: mono.System{}.Now(), Position: position.Position{Term: 1, Index: 1234567}}, true
 }
-func (calm) Add(topology.GroupID, routing.Sample)  {}
-func (calm) Renew(topology.GroupID, time.Duration) {}
+func (healthyFakes) Add(topology.GroupID, routing.Sample)  {}
+func (healthyFakes) Renew(topology.GroupID, time.Duration) {}
 
-// traffic sums up messages and bytes by kind over all registries.
+// traffic sums messages and bytes by kind over all registries.
 func traffic(registries []*metrics.Registry) map[string][2]int64 {
 	sum := map[string][2]int64{}
 	for _, r := range registries {
@@ -74,8 +74,8 @@
 	return sum
 }
 
-// startCalmGroups starts VMs with many groups, and returns what they count.
-func startCalmGroups(t *testing.T, vms, groups int) ([]*lead.Lead, []*metrics.Registry) {
+// startHealthyGroups starts VMs with many groups, and returns them with their metrics.
+func startHealthyGroups(t *testing.T, vms, groups int) ([]*lead.Lead, []*metrics.Registry) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -102,21 +102,21 @@
 		r := metrics.New()
 		transport.Metrics = metrics.NewPeers(r)
 		l := lead.New(lead.Options{
-			Directory: d, Store: store, Control: calm{}, Promotions: calm{}, Transport: transport, Health: calm{}, Clock: mono.System{}, Log: log,
+			Directory: d, Store: store, Control: healthyFakes{}, Promotions: healthyFakes{}, Transport: transport, Health: healthyFakes{}, Clock: mono.System{}, Log: log,
 		})
-		l.Share(calm{})
+		l.Share(healthyFakes{})
 		go l.Run(ctx)
 		leads, registries = append(leads, l), append(registries, r)
 	}
 	return leads, registries
 }
 
-// Guards against messages whose size grows with the groups more than it has to: the VM that coordinates sends one
-// to each VM four times a second.
+// Guards against messages that grow with the number of groups more than necessary: the coordinator
+// sends one to each VM four times a second.
 func TestMessagesOfManyGroupsStaySmall(t *testing.T) {
 	t.Parallel()
 	const vms, groups = 12, 60
-	leads, registries := startCalmGroups(t, vms, groups)
+	leads, registries := startHealthyGroups(t, vms, groups)
 	end := time.Now().Add(20 * time.Second)
 	for _, l := range leads {
 		for _, ok := l.Right("g-59"); !ok; _, ok = l.Right("g-59") {
@@ -126,7 +126,7 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	// VMs that have just learnt of rows list them in full for a moment.
+	// VMs that have just received rows list them in full for a moment.
 	before := traffic(registries)
 	for {
 		time.Sleep(time.Second)
@@ -142,7 +142,8 @@
 	}
 }
 
-// tooLarge tells which messages between two counts were larger than the most, on average.
+// tooLarge reports which messages between two counts exceeded the average size given for their
+// kind.
 func tooLarge(before, now map[string][2]int64, most map[string]int64) string {
 	for kind, m := range most {
 		messages, bytes := now[kind][0]-before[kind][0], now[kind][1]-before[kind][1]
--- a/internal/lead/transport.go
+++ b/internal/lead/transport.go
@@ -12,23 +12,22 @@
 )
 
 const (
-	// maxDatagram is the greatest message in bytes.
-	maxDatagram = 60000
-	// rowsPerMessage is how many rows a message holds at most, with room for long ones.
+	// maxDatagramBytes is the maximum size of a message.
+	maxDatagramBytes = 60000
+	// rowsPerMessage is the maximum number of rows in a message, with a margin for long rows.
 	rowsPerMessage = 20
 )
 
-// Transport sends datagrams to other VMs. Datagrams and not connections: a connection
-// may go silent for good without an error, and a promise that comes late is worth
-// nothing anyway.
+// Transport exchanges datagrams with other VMs. It uses datagrams because a connection may stop
+// delivering without any error, and a late promise is of no use anyway.
 type Transport struct {
 	conn *net.UDPConn
 	log  *slog.Logger
-	// Metrics counts what is sent, by kind; nil: nothing is counted.
+	// Metrics counts sent messages by kind; nil disables the counts.
 	Metrics *metrics.Peers
 }
 
-// Listen opens the socket at the address, ip:port.
+// Listen opens the socket at address, in the form ip:port.
 func Listen(address string, log *slog.Logger) (*Transport, error) {
 	a, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -41,8 +40,8 @@
 	return &Transport{conn: conn, log: log}, nil
 }
 
-// Send sends one message to each address. A failure is logged only: the next renewal makes
-// up for it.
+// Send sends one message to each address. A failure is only logged, as the next renewal compensates
+// for it.
 func (t *Transport) Send(m *message, addresses ...string) {
 	raw, err := encode(m)
 	if err != nil {
@@ -66,11 +65,11 @@
 	}
 }
 
-// Serve hands each message to handle until the context ends.
+// Serve passes each received message to handle until ctx ends.
 func (t *Transport) Serve(ctx context.Context, handle func(from string, m *message)) {
 	stop := context.AfterFunc(ctx, func() { _ = t.conn.Close() })
 	defer stop()
-	buffer := make([]byte, maxDatagram)
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := t.conn.ReadFromUDPAddrPort(buffer)
 		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
--- a/internal/lead/witnesses_test.go
+++ b/internal/lead/witnesses_test.go
@@ -8,9 +8,9 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// A data centre is cut off, with the coordinator in it. If most witnesses are beside it, it
-// goes on promising for twelve seconds, and no primary can be replaced until then: whatever
-// the names of the VMs, no data centre has most of the witnesses.
+// A data centre is cut off together with the coordinator. If it held most of the witnesses, the
+// coordinator would continue to promise for twelve seconds, and no primary could be replaced until
+// then. So no data centre has most of the witnesses, whatever the names of the VMs.
 func TestNoDataCentreHasMostWitnesses(t *testing.T) {
 	for seed := range 50 {
 		d := directory.New(topology.VM{ID: "self"})
@@ -28,7 +28,7 @@
 		}
 		for dc, n := range count {
 			if 2*n > len(ids) {
-				t.Fatalf("%s has %d of %d witnesses with names %d", dc, n, len(ids), seed)
+				t.Fatalf("%s has %d of %d witnesses with seed %d", dc, n, len(ids), seed)
 			}
 		}
 	}
