--- a/internal/gatewayd/daemon.go
+++ b/internal/gatewayd/daemon.go
@@ -167,7 +167,7 @@
 
 func (p *parts) start(context.Context) error {
 	ctx := p.Life.context
-	p.Lead.Share(p.Server.Positions())
+	p.Lead.SharePositions(p.Server.Positions())
 	go p.configurationWatcher().Run(ctx)
 	go p.targetWatcher().Run(ctx)
 	go p.Pools.Run(ctx)
--- a/internal/lead/positions.go
+++ b/internal/lead/positions.go
@@ -37,8 +37,8 @@
 	Term, Index uint64
 }
 
-// Share makes this VM share positions with the others. It must be called before Run.
-func (l *Lead) Share(p Positions) { l.positions = p }
+// SharePositions makes this VM share positions with the others. It must be called before Run.
+func (l *Lead) SharePositions(p Positions) { l.positions = p }
 
 // renewPositions renews the samples that this VM sends.
 func (l *Lead) renewPositions() {
--- a/internal/lead/positions_test.go
+++ b/internal/lead/positions_test.go
@@ -37,13 +37,13 @@
 		groupNumber(1): {Begun: clock.Now().Add(-time.Minute), Position: holds},
 		groupNumber(2): {Begun: clock.Now().Add(-age), Position: position.Position{Term: 7, Index: 1}}, // Of another term.
 	}}
-	coordinator.Share(at)
+	coordinator.SharePositions(at)
 	coordinator.renewPositions()
 	if len(at.renewed) != 4 {
 		t.Fatalf("renews %v", at.renewed)
 	}
 	to := &fakePositions{samples: map[topology.GroupID]routing.Sample{}}
-	vm.Share(to)
+	vm.SharePositions(to)
 	request := renewalOf(vm)
 	sent := clock.Now()
 	const way = 30 * time.Millisecond
@@ -64,12 +64,12 @@
 // Guards against positions that were sent under rows which have changed since.
 func TestPositionsForOutdatedRowsAreIgnored(t *testing.T) {
 	coordinator, vm, clock := newPair(4)
-	coordinator.Share(&fakePositions{samples: map[topology.GroupID]routing.Sample{
+	coordinator.SharePositions(&fakePositions{samples: map[topology.GroupID]routing.Sample{
 		groupNumber(0): {Begun: clock.Now(), Position: position.Position{Term: 1, Index: 42}},
 	}})
 	coordinator.renewPositions()
 	to := &fakePositions{samples: map[topology.GroupID]routing.Sample{}}
-	vm.Share(to)
+	vm.SharePositions(to)
 	answer := &message{Kind: promise, From: "vm-1", Incarnation: 1, Sequence: 1}
 	coordinator.promiseByDigest(renewalOf(vm), answer, clock.Now())
 	vm.holder.Adopt(rowNumber(0).Closed(primaryFailed))
--- a/internal/lead/traffic_test.go
+++ b/internal/lead/traffic_test.go
@@ -104,7 +104,7 @@
 		l := lead.New(lead.Options{
 			Directory: d, Store: store, Control: healthyFakes{}, Promotions: healthyFakes{}, Transport: transport, Health: healthyFakes{}, Clock: mono.System{}, Log: log,
 		})
-		l.Share(healthyFakes{})
+		l.SharePositions(healthyFakes{})
 		go l.Run(ctx)
 		leads, registries = append(leads, l), append(registries, r)
 	}
