--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,5 +1,5 @@
-// Package directory holds what a VM knows of its deployment: the configuration in
-// force, the targets and the other VMs, each kept up to date by a watcher.
+// Package directory holds what a VM knows about its deployment: the configuration in
+// force, the targets and the other VMs. A watcher keeps each of them up to date.
 package directory
 
 import (
@@ -15,77 +15,78 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Freshness is what the reads of a class need.
+// Freshness is how recent the data returned by the reads of a class must be.
 type Freshness int
 
 // The kinds of freshness.
 const (
 	// Newest reads see every acknowledged commit.
 	Newest Freshness = iota
-	// Bounded reads see every commit acknowledged longer ago than the staleness.
+	// Bounded reads see every commit acknowledged longer ago than the class's Staleness.
 	Bounded
-	// OwnWrites reads see besides every commit of their own session.
+	// OwnWrites reads are Bounded reads that also see every commit of their own session.
 	OwnWrites
 )
 
-// Class is how the requests of one database name are served.
+// Class describes how the requests to one database name are served.
 type Class struct {
 	// Database is the name that callers open a session with.
 	Database string
-	// Name of the class for logs and metrics.
+	// Name identifies the class in logs and metrics.
 	Name  string
 	Group topology.GroupID
 	Reads Freshness
-	// Staleness that Bounded and OwnWrites reads accept.
+	// Staleness is the highest staleness that Bounded and OwnWrites reads accept.
 	Staleness time.Duration
 	// StatementTimeout limits one statement.
 	StatementTimeout time.Duration
-	// Objective is within what time callers want their answer.
+	// Objective is the response time that callers expect.
 	Objective time.Duration
 	// Priority orders the classes; lower numbers go first.
 	Priority int
-	// Open: its sessions need no customer's key.
+	// Open is set when sessions of the class need no customer key.
 	Open bool
 }
 
-// Configuration is one version of what the operators declare.
+// Configuration is one version of the settings that the operators declare.
 type Configuration struct {
 	Version uint64
-	// Classes by database name.
+	// Classes holds the classes by database name.
 	Classes map[string]Class
-	// Connections that each target of a group takes from all VMs together.
+	// Connections is how many connections each target of a group accepts from all VMs together.
 	Connections map[topology.GroupID]int
 	// SyncReplicas is how many replicas hold a commit before it is acknowledged.
 	SyncReplicas map[topology.GroupID]int
-	// Customers whose keys open sessions; nil: sessions need none.
+	// Customers holds the customers whose keys open sessions; nil means that no session needs a key.
 	Customers *customer.Register
-	// IdleTransaction is how long a transaction may rest between two statements.
+	// IdleTransaction is how long a transaction may be idle between two statements.
 	IdleTransaction time.Duration
 }
 
-// Target is a database as it registered itself.
+// Target is a database as described by its own registration.
 type Target struct {
 	topology.Target
-	// SaysPrimary: it takes itself for the primary.
+	// SaysPrimary is set when the database reports that it is the primary.
 	SaysPrimary bool
 	Slots       int
-	// Registration is the key under which it registered. A database that starts again under
-	// the same key is another target: it knows nothing that was agreed with the one before.
+	// Registration is the key of the database's registration. A database that restarts under the
+	// same key is a different target: nothing agreed with the earlier process holds for it.
 	Registration string
-	// Started is when its process started by its own word, in Unix milliseconds; 0: not told.
+	// Started is when the process started, as reported by the database itself, in Unix
+	// milliseconds; 0 if it reports none.
 	Started uint64
-	// LeavingSince is, for one that leaves, the last moment at which this VM knew it to stay; 0: it is not
-	// known when it began to leave.
+	// LeavingSince is, for a target that is leaving, the last moment at which this VM knew that it
+	// was not leaving; 0 if that is not known.
 	LeavingSince mono.Time
-	// Superseded: a later start has registered under its key or at its address, so it has ended.
-	// The lists of targets leave it out.
+	// Superseded is set when a later start has registered under the same key or at the same
+	// address, so this process has ended. The lists of targets leave it out.
 	Superseded bool
 }
 
-// follows reports whether t is a later start of what o was. Only the targets' own word counts:
-// the entry of one that crashed may be written again when a late heartbeat of it arrives, after
-// its successor has registered at its address.
-func (t *Target) follows(o *Target) bool {
+// supersedes reports whether t is a later start of o. Only the start times reported by the targets
+// count: a late heartbeat may write the entry of a crashed target again after its successor has
+// registered at its address.
+func (t *Target) supersedes(o *Target) bool {
 	if t.ID == o.ID || t.Started <= o.Started {
 		return false
 	}
@@ -93,7 +94,7 @@
 		o.Started != 0 && t.Address != "" && t.Address == o.Address
 }
 
-// Directory holds the newest of each. Safe for concurrent use.
+// Directory holds the newest known configuration, targets and VMs. It is safe for concurrent use.
 type Directory struct {
 	self  topology.VM
 	relay *Relay
@@ -102,23 +103,23 @@
 	config  *Configuration
 	targets map[topology.TargetID]Target
 	vms     map[topology.VMID]topology.VM
-	// sorted, byGroup, groups and vmList are made anew when they are read after a change:
-	// they are read with every request and many times a second besides, and changes come
-	// by the dozen, as when many VMs start at once.
+	// sorted, byGroup, groups and vmList are rebuilt by the first read after a change: they are
+	// read with every request and many times a second besides, and changes come in bursts of
+	// dozens, as when many VMs start at once.
 	stale   bool
 	sorted  []Target
 	byGroup map[topology.GroupID][]Target
 	groups  []topology.GroupID
 	vmList  []topology.VM
-	// holders are the VMs that connect to each target, as far as they were asked for.
+	// holders caches the VMs that connect to each target, for the targets asked for so far.
 	holders   map[topology.TargetID][]topology.VMID
 	placement *placement.VMs
 	changes   uint64
-	// told is closed and replaced when something changes.
-	told chan struct{}
+	// changed is closed and replaced with each change.
+	changed chan struct{}
 }
 
-// New makes an empty directory of a VM.
+// New returns an empty directory for the VM self.
 func New(self topology.VM) *Directory {
 	return &Directory{
 		self:    self,
@@ -126,56 +127,56 @@
 		targets: map[topology.TargetID]Target{},
 		vms:     map[topology.VMID]topology.VM{},
 		holders: map[topology.TargetID][]topology.VMID{},
-		told:    make(chan struct{}),
+		changed: make(chan struct{}),
 	}
 }
 
 // Self returns this VM.
 func (d *Directory) Self() topology.VM { return d.self }
 
-// Relay returns what VMs tell each other of changes in the store.
+// Relay returns the relay through which VMs report changes in the store to each other.
 func (d *Directory) Relay() *Relay { return d.relay }
 
-// relayFrom is the number of VMs from which one watches the store for all: with two the other
-// one's watches cost no more than the relay's safeguards.
-const relayFrom = 3
+// minRelayVMs is the number of VMs from which on one VM watches the store for all of them. With
+// two VMs, the other one's own watches cost no more than the relay's safeguards.
+const minRelayVMs = 3
 
-// Relays reports whether VMs tell each other of changes in the store.
+// Relays reports whether one VM watches the store and reports changes to the others.
 func (d *Directory) Relays() bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	return len(d.vms) >= relayFrom
+	return len(d.vms) >= minRelayVMs
 }
 
 // Changed returns a channel that is closed with the next change.
 func (d *Directory) Changed() <-chan struct{} {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	return d.told
+	return d.changed
 }
 
-func (d *Directory) tell() {
+func (d *Directory) notify() {
 	d.changes++
 	d.stale = true
-	close(d.told)
-	d.told = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// lists returns with the lock held for reading and the lists up to date.
-func (d *Directory) lists() {
+// rlockLists locks d for reading, with the lists up to date.
+func (d *Directory) rlockLists() {
 	d.mu.RLock()
 	for d.stale {
 		d.mu.RUnlock()
 		d.mu.Lock()
-		d.makeLists()
+		d.rebuildLists()
 		d.mu.Unlock()
 		d.mu.RLock()
 	}
 }
 
-func (d *Directory) makeLists() {
+func (d *Directory) rebuildLists() {
 	d.sorted = slices.SortedFunc(maps.Values(d.targets), func(a, b Target) int { return strings.Compare(string(a.ID), string(b.ID)) })
-	d.sorted = slices.DeleteFunc(d.sorted, func(t Target) bool { return t.Superseded || !d.names(t.Group) })
+	d.sorted = slices.DeleteFunc(d.sorted, func(t Target) bool { return t.Superseded || !d.hasGroup(t.Group) })
 	d.byGroup = map[topology.GroupID][]Target{}
 	for _, t := range d.sorted {
 		d.byGroup[t.Group] = append(d.byGroup[t.Group], t)
@@ -185,9 +186,9 @@
 	d.stale = false
 }
 
-// names reports whether the configuration has the group. A registration of another one comes
-// from a writer that is not ours, and names no target to use.
-func (d *Directory) names(group topology.GroupID) bool {
+// hasGroup reports whether the configuration has the group. A registration in any other group
+// comes from a writer outside this deployment and is not a target to use.
+func (d *Directory) hasGroup(group topology.GroupID) bool {
 	if d.config == nil || d.config.Connections == nil {
 		return true
 	}
@@ -195,8 +196,8 @@
 	return ok
 }
 
-// SetConfiguration takes over a newer configuration. It reports whether it was
-// newer: what is in force never goes back.
+// SetConfiguration installs c if it is newer than the configuration in force, and reports
+// whether it was. The version in force never decreases.
 func (d *Directory) SetConfiguration(c *Configuration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -204,12 +205,12 @@
 		return false
 	}
 	d.config = c
-	d.forgetHolders()
-	d.tell()
+	d.resetHolders()
+	d.notify()
 	return true
 }
 
-// Configuration returns the one in force, or nil.
+// Configuration returns the configuration in force, or nil if there is none.
 func (d *Directory) Configuration() *Configuration {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -226,30 +227,31 @@
 	return class, ok
 }
 
-// SetTarget takes over what is newly known of a target, and reports whether it differs. Its LeavingSince is
-// the last moment at which what was known before was up to date.
+// SetTarget stores a target and reports whether anything changed. The caller sets t.LeavingSince
+// to the last moment at which the previously stored entry was up to date.
 func (d *Directory) SetTarget(t Target) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	t.LeavingSince = d.leavingSince(&t)
 	for _, o := range d.targets {
-		t.Superseded = t.Superseded || o.follows(&t)
+		t.Superseded = t.Superseded || o.supersedes(&t)
 	}
 	if d.targets[t.ID] == t {
 		return false
 	}
 	d.targets[t.ID] = t
 	for id, o := range d.targets {
-		if t.follows(&o) {
+		if t.supersedes(&o) {
 			o.Superseded = true
 			d.targets[id] = o
 		}
 	}
-	d.tell()
+	d.notify()
 	return true
 }
 
-// leavingSince returns when a target began to leave. One that was not known until now may have begun at any time.
+// leavingSince returns the LeavingSince to store for t. It is 0 for a target that was not known
+// before, which may have begun to leave at any time.
 func (d *Directory) leavingSince(t *Target) mono.Time {
 	known, ok := d.targets[t.ID]
 	switch {
@@ -261,42 +263,42 @@
 	return t.LeavingSince
 }
 
-// RemoveRegistration forgets the targets that registered under a key, and returns their names.
+// RemoveRegistration removes the targets registered under a key and returns their IDs.
 func (d *Directory) RemoveRegistration(key string) []topology.TargetID {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var gone []topology.TargetID
+	var removed []topology.TargetID
 	for id, t := range d.targets {
 		if t.Registration == key {
 			delete(d.targets, id)
-			gone = append(gone, id)
+			removed = append(removed, id)
 		}
 	}
-	if len(gone) > 0 {
-		d.tell()
+	if len(removed) > 0 {
+		d.notify()
 	}
-	return gone
+	return removed
 }
 
-// KeepRegistrations forgets all targets but those that registered under the keys, and returns
-// the names of the others.
+// KeepRegistrations removes all targets but those registered under the keys, and returns the
+// IDs of the removed ones.
 func (d *Directory) KeepRegistrations(keys map[string]bool) []topology.TargetID {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var gone []topology.TargetID
+	var removed []topology.TargetID
 	for id, t := range d.targets {
 		if !keys[t.Registration] {
 			delete(d.targets, id)
-			gone = append(gone, id)
+			removed = append(removed, id)
 		}
 	}
-	if len(gone) > 0 {
-		d.tell()
+	if len(removed) > 0 {
+		d.notify()
 	}
-	return gone
+	return removed
 }
 
-// Target returns a target, also one that is superseded.
+// Target returns a target, including one that is superseded.
 func (d *Directory) Target(id topology.TargetID) (Target, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -304,62 +306,63 @@
 	return t, ok
 }
 
-// Changes counts the changes so far.
+// Changes returns the number of changes so far.
 func (d *Directory) Changes() uint64 {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.changes
 }
 
-// Targets returns all targets in order of their names. The slice must not be changed.
+// Targets returns the targets ordered by ID, without superseded ones and those of groups that the
+// configuration does not have. The slice must not be changed.
 func (d *Directory) Targets() []Target {
-	d.lists()
+	d.rlockLists()
 	defer d.mu.RUnlock()
 	return d.sorted
 }
 
-// Groups returns the groups that have a target, in order of their names. The slice must
-// not be changed.
+// Groups returns the groups that have a target, in sorted order. The slice must not be changed.
 func (d *Directory) Groups() []topology.GroupID {
-	d.lists()
+	d.rlockLists()
 	defer d.mu.RUnlock()
 	return d.groups
 }
 
-// TargetsOf returns a group's targets in order of their names. The slice must not be
-// changed.
+// TargetsOf returns a group's targets ordered by ID, as Targets does. The slice must not be changed.
 func (d *Directory) TargetsOf(group topology.GroupID) []Target {
-	d.lists()
+	d.rlockLists()
 	defer d.mu.RUnlock()
 	return d.byGroup[group]
 }
 
-// The waits of watches grow with the number of VMs from this one on, so that the calls of
-// all VMs together do not: the store takes so many a second, whoever sends them.
-const watchersFree = 20
+// fullRateVMs is the number of VMs above which the waits of watches grow with it, so that the
+// calls of all VMs together do not: the store serves a limited number of calls a second, whoever
+// sends them.
+const fullRateVMs = 20
 
-// WatchWait returns the usual wait of a watch, lengthened for many VMs up to the most.
-func (d *Directory) WatchWait(most time.Duration) time.Duration {
+// WatchWait returns the wait of a watch: the usual one, lengthened for many VMs up to limit.
+func (d *Directory) WatchWait(limit time.Duration) time.Duration {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	return min(most, watchWait*time.Duration(max(len(d.vms), watchersFree))/watchersFree)
+	return min(limit, watchWait*time.Duration(max(len(d.vms), fullRateVMs))/fullRateVMs)
 }
 
-// changeRest is how long watches of many VMs rest after a change: registrations come by the dozen
-// as VMs start together, and one call then brings many. The rest grows with the VMs from restingVMs on, up
-// to longestRest, so that the calls for the changes of some seconds do not grow with it as much.
+// changeDelay is how long the watches of many VMs pause after a change: registrations come by the
+// dozen as VMs start together, and one call then returns many. The delay grows with the number of
+// VMs from changeDelayVMs on, up to maxChangeDelay, so that the calls for the changes of some
+// seconds do not grow as much.
 const (
-	changeRest  = 700 * time.Millisecond
-	longestRest = 2 * time.Second
-	restingVMs  = 100
+	changeDelay    = 700 * time.Millisecond
+	maxChangeDelay = 2 * time.Second
+	changeDelayVMs = 100
 )
 
-// ChangeRest returns how long a watch rests after a change.
+// ChangeRest returns how long a watch pauses after a change.
 func (d *Directory) ChangeRest() time.Duration {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	if len(d.vms) <= watchersFree {
+	if len(d.vms) <= fullRateVMs {
 		return 0
 	}
-	return min(longestRest, changeRest*time.Duration(max(len(d.vms), restingVMs))/restingVMs)
+	return min(maxChangeDelay, changeDelay*time.Duration(max(len(d.vms), changeDelayVMs))/changeDelayVMs)
 }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -9,7 +9,7 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-func started(id topology.TargetID, key, address string, at uint64) Target {
+func newTarget(id topology.TargetID, key, address string, at uint64) Target {
 	return Target{
 		Target:       topology.Target{ID: id, Group: "g", Address: address},
 		Registration: key, Started: at,
@@ -24,14 +24,14 @@
 	return all
 }
 
-// A database crashes and another one answers at its address, or it starts again under its key;
-// the old entry has not lapsed. Nobody is to be sent to the one that has ended, in whatever
-// order a listing brings the two.
-func TestALaterStartTakesAnEarlierOnesPlace(t *testing.T) {
-	old, other := started("a@5", "a", "10.0.0.1:1", 5), started("z", "z", "10.0.0.2:1", 0)
+// Guards against requests to a database that has ended: it crashed and another one answers at its
+// address, or it restarted under its key, and its old entry has not lapsed. The order in which a
+// listing returns the two must not matter.
+func TestLaterStartSupersedesEarlierOne(t *testing.T) {
+	old, other := newTarget("a@5", "a", "10.0.0.1:1", 5), newTarget("z", "z", "10.0.0.2:1", 0)
 	for name, successor := range map[string]Target{
-		"at its address": started("b@7", "b", "10.0.0.1:1", 7),
-		"under its key":  started("a@7", "a", "10.0.0.3:1", 7),
+		"at its address": newTarget("b@7", "b", "10.0.0.1:1", 7),
+		"under its key":  newTarget("a@7", "a", "10.0.0.3:1", 7),
 	} {
 		for _, order := range [][]Target{{old, other, successor}, {successor, other, old}} {
 			d := New(topology.VM{})
@@ -42,60 +42,61 @@
 				t.Errorf("%s: %v", name, got)
 			}
 			if was, ok := d.Target("a@5"); !ok || !was.Superseded {
-				t.Errorf("%s: the former one is %+v, %v", name, was, ok)
+				t.Errorf("%s: the earlier one is %+v, %v", name, was, ok)
 			}
 		}
 	}
 }
 
-// A database crashes behind a cut and another one answers at its address; then a late heartbeat
-// writes the crashed one's entry again. Neither says when it started: both stay in use, and
-// connecting finds out. Taken for the later start, the crashed one displaced the living one, and
-// its group read from two databases instead of three for half a minute.
-func TestALateHeartbeatDisplacesNobody(t *testing.T) {
+// A database crashes behind a network partition and another one answers at its address; then a late
+// heartbeat writes the crashed one's entry again. Neither reports when it started, so both stay in
+// use, and connecting shows which one runs. Guards against taking the crashed one for the later
+// start: it superseded the running one, and the group read from two databases instead of three for
+// half a minute.
+func TestLateHeartbeatSupersedesNoTarget(t *testing.T) {
 	d := New(topology.VM{})
-	d.SetTarget(started("new", "new", "10.0.0.1:1", 0))
-	d.SetTarget(started("old", "old", "10.0.0.1:1", 0))
+	d.SetTarget(newTarget("new", "new", "10.0.0.1:1", 0))
+	d.SetTarget(newTarget("old", "old", "10.0.0.1:1", 0))
 	if got := ids(d.Targets()); len(got) != 2 {
 		t.Fatal(got)
 	}
-	d.SetTarget(started("told@7", "told", "10.0.0.1:1", 7)) // The others may have started later.
+	d.SetTarget(newTarget("known@7", "known", "10.0.0.1:1", 7)) // The others may have started later.
 	if got := ids(d.Targets()); len(got) != 3 {
 		t.Fatal(got)
 	}
 }
 
-// The same entry says nothing new and wakes nobody.
-func TestAnUnchangedEntryTellsNothing(t *testing.T) {
+// An entry that is written again without a change does not count as a change.
+func TestUnchangedEntryIsNoChange(t *testing.T) {
 	d := New(topology.VM{})
-	d.SetTarget(started("a", "a", "10.0.0.1:1", 5))
+	d.SetTarget(newTarget("a", "a", "10.0.0.1:1", 5))
 	before := d.Changes()
-	if d.SetTarget(started("a", "a", "10.0.0.1:1", 5)) || d.Changes() != before {
-		t.Fatal("told")
+	if d.SetTarget(newTarget("a", "a", "10.0.0.1:1", 5)) || d.Changes() != before {
+		t.Fatal("an unchanged entry counts as a change")
 	}
 }
 
-func TestRegistrationsAreForgottenByTheirKey(t *testing.T) {
+func TestRegistrationsAreRemovedByKey(t *testing.T) {
 	d := New(topology.VM{})
-	d.SetTarget(started("a@1", "a", "10.0.0.1:1", 1))
-	d.SetTarget(started("b@1", "b", "10.0.0.2:1", 1))
-	d.SetTarget(started("c@1", "c", "10.0.0.3:1", 1))
-	if gone := d.RemoveRegistration("a"); len(gone) != 1 || gone[0] != "a@1" {
-		t.Fatal(gone)
+	d.SetTarget(newTarget("a@1", "a", "10.0.0.1:1", 1))
+	d.SetTarget(newTarget("b@1", "b", "10.0.0.2:1", 1))
+	d.SetTarget(newTarget("c@1", "c", "10.0.0.3:1", 1))
+	if removed := d.RemoveRegistration("a"); len(removed) != 1 || removed[0] != "a@1" {
+		t.Fatal(removed)
 	}
-	if gone := d.KeepRegistrations(map[string]bool{"c": true}); len(gone) != 1 || gone[0] != "b@1" {
-		t.Fatal(gone)
+	if removed := d.KeepRegistrations(map[string]bool{"c": true}); len(removed) != 1 || removed[0] != "b@1" {
+		t.Fatal(removed)
 	}
 	if got := ids(d.Targets()); len(got) != 1 || got[0] != "c@1" {
 		t.Fatal(got)
 	}
 }
 
-// An entry of a group that no configuration names comes from another writer. It is no target of
-// ours: no row is made for its group and nobody connects to it.
+// An entry of a group that is in no configuration comes from a writer outside this deployment. It is
+// not a target: its group gets no row and no VM connects to it.
 func TestGroupsWithoutConfigurationHaveNoTargets(t *testing.T) {
 	d := New(topology.VM{})
-	d.SetTarget(started("a", "a", "10.0.0.1:1", 1))
+	d.SetTarget(newTarget("a", "a", "10.0.0.1:1", 1))
 	d.SetConfiguration(&Configuration{Version: 1, Connections: map[topology.GroupID]int{"other": 9}})
 	if got := d.Groups(); len(got) != 0 {
 		t.Fatal(got)
@@ -106,7 +107,8 @@
 	}
 }
 
-// Eight VMs that each watch the store make eight times its calls for the same news.
+// Guards against a watch of the store by each VM: eight VMs make eight times the calls for the same
+// changes.
 func TestOneVMWatchesForAll(t *testing.T) {
 	d := New(topology.VM{})
 	for i, want := range []bool{false, false, true, true} {
@@ -118,27 +120,27 @@
 }
 
 // Guards against calls that grow with the number of VMs: the more VMs fetch changes, the more changes
-// each call brings, within what a late change may cost.
-func TestWatchesRestLongerWithMoreVMs(t *testing.T) {
-	rest := func(vms int) time.Duration {
+// each call has to return, within the delay that a change may have.
+func TestChangeDelayGrowsWithVMs(t *testing.T) {
+	delay := func(vms int) time.Duration {
 		d := New(topology.VM{ID: "self"})
 		for i := range vms {
 			d.SetVM(topology.VM{ID: topology.VMID(fmt.Sprint(i))})
 		}
 		return d.ChangeRest()
 	}
-	few, some, many, most := rest(7), rest(90), rest(250), rest(4000)
+	few, some, many, most := delay(7), delay(90), delay(250), delay(4000)
 	if few != 0 || some == 0 || many <= some || most < many || most > 2*time.Second {
 		t.Fatalf("%v, %v, %v, %v", few, some, many, most)
 	}
 }
 
-// Guards against a departure that seems to begin anew, or later than it did, with each word of it.
-func TestADepartureBeginsWhenTheTargetWasLastKnownToStay(t *testing.T) {
+// Guards against a departure whose start moves with each report of it, or is later than it was.
+func TestLeavingSinceIsWhenTheTargetWasLastKnownToStay(t *testing.T) {
 	d := New(topology.VM{})
-	say := func(leaving bool, current mono.Time) {
-		target := started("a", "a", "10.0.0.1:1", 1)
-		target.Leaving, target.LeavingSince = leaving, current
+	report := func(leaving bool, upToDateAt mono.Time) {
+		target := newTarget("a", "a", "10.0.0.1:1", 1)
+		target.Leaving, target.LeavingSince = leaving, upToDateAt
 		d.SetTarget(target)
 	}
 	expect := func(what string, want mono.Time) {
@@ -147,20 +149,20 @@
 			t.Fatalf("%s: since %d, want %d", what, got.LeavingSince, want)
 		}
 	}
-	say(true, 50)
-	expect("first heard of as it leaves", 0)
-	say(false, 60)
-	say(true, 70)
-	expect("it stayed before", 70)
+	report(true, 50)
+	expect("first seen while it leaves", 0)
+	report(false, 60)
+	report(true, 70)
+	expect("known to stay before", 70)
 	before := d.Changes()
-	say(true, 80)
-	expect("the same again", 70)
+	report(true, 80)
+	expect("reported again", 70)
 	if d.Changes() != before {
-		t.Fatal("the same entry told something")
+		t.Fatal("an unchanged entry counts as a change")
 	}
-	say(false, 90)
-	expect("it stays", 0)
+	report(false, 90)
+	expect("no longer leaving", 0)
 	d.RemoveRegistration("a")
-	say(true, 100)
-	expect("its entry had lapsed", 0)
+	report(true, 100)
+	expect("known again after its entry was removed", 0)
 }
--- a/internal/directory/kept.go
+++ b/internal/directory/kept.go
@@ -9,13 +9,13 @@
 	"github.com/buckthornshore/buckthornshore/pkg/metastore"
 )
 
-// Kept are the rows of a feed as of a version of the store.
+// Kept holds the rows of a feed as of a version of the store.
 type Kept struct {
 	Version uint64          `msgpack:"v"`
 	Rows    []metastore.Row `msgpack:"r"`
 }
 
-// Size is about how many bytes the rows take.
+// Size returns approximately how many bytes the rows take in a message.
 func (k *Kept) Size() int {
 	size := 0
 	for _, r := range k.Rows {
@@ -24,29 +24,29 @@
 	return size
 }
 
-// Neighbours are other VMs that may have a change of the store already.
+// Neighbours gives access to nearby VMs, which may already have read a change from the store.
 type Neighbours interface {
-	// Fetch returns the rows of a feed as of the version or a later one; false: nobody near has them, and the
-	// store is to be asked.
+	// Fetch returns the rows of a feed as of the version or a later one. It returns false if no
+	// neighbour has them; the caller then asks the store.
 	Fetch(ctx context.Context, f Feed, version uint64) (Kept, bool)
 }
 
-// Keep takes over all rows of a feed as of a version, for other VMs to ask for.
+// Keep stores all rows of a feed as of a version, for other VMs to ask for.
 func (r *Relay) Keep(f Feed, rows []metastore.Row, version uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if version < r.kept[f].Version {
+	if version < r.snapshots[f].Version {
 		return
 	}
-	r.kept[f] = Kept{Version: version, Rows: slices.DeleteFunc(slices.Clone(rows), func(r metastore.Row) bool { return r.Deleted })}
+	r.snapshots[f] = Kept{Version: version, Rows: slices.DeleteFunc(slices.Clone(rows), func(r metastore.Row) bool { return r.Deleted })}
 	r.wake()
 }
 
-// KeepChanges takes over changes of a feed up to a version, after Keep.
+// KeepChanges applies the changes of a feed up to a version to the rows stored by Keep.
 func (r *Relay) KeepChanges(f Feed, changes []metastore.Row, version uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	k, ok := r.kept[f]
+	k, ok := r.snapshots[f]
 	if !ok || version < k.Version {
 		return
 	}
@@ -57,16 +57,17 @@
 			rows = append(rows, c)
 		}
 	}
-	r.kept[f] = Kept{Version: version, Rows: rows}
+	r.snapshots[f] = Kept{Version: version, Rows: rows}
 	r.wake()
 }
 
-// AwaitKept returns the rows of a feed once this VM has them as of the version or a later one.
+// AwaitKept waits until this VM has the rows of a feed as of the version or a later one, and
+// returns them. It returns false if ctx ends first.
 func (r *Relay) AwaitKept(ctx context.Context, f Feed, version uint64) (Kept, bool) {
-	const look = time.Second // It is woken by each change.
+	const pollPeriod = time.Second // Each change ends the wait early.
 	for {
 		r.mu.Lock()
-		k, changed := r.kept[f], r.changed
+		k, changed := r.snapshots[f], r.changed
 		r.mu.Unlock()
 		if k.Version >= version && version != 0 {
 			return k, true
@@ -74,6 +75,6 @@
 		if ctx.Err() != nil {
 			return k, false
 		}
-		wait.Until(ctx, changed, look)
+		wait.Until(ctx, changed, pollPeriod)
 	}
 }
--- a/internal/directory/neighbours_test.go
+++ b/internal/directory/neighbours_test.go
@@ -11,13 +11,13 @@
 	"github.com/buckthornshore/buckthornshore/pkg/mono"
 )
 
-// neighbour is another VM of the data centre with what it keeps, or none.
-type neighbour struct {
+// fakeNeighbour is another VM of the data centre, with the rows that relay keeps, or none if relay is nil.
+type fakeNeighbour struct {
 	relay *directory.Relay
 	asked atomic.Int32
 }
 
-func (n *neighbour) Fetch(ctx context.Context, f directory.Feed, version uint64) (directory.Kept, bool) {
+func (n *fakeNeighbour) Fetch(ctx context.Context, f directory.Feed, version uint64) (directory.Kept, bool) {
 	n.asked.Add(1)
 	if n.relay == nil {
 		return directory.Kept{}, false
@@ -27,40 +27,41 @@
 	return n.relay.AwaitKept(ctx, f, version)
 }
 
-// Guards against a change that each VM reads from the store, although one beside it has it already.
-func TestAChangeComesFromANeighbour(t *testing.T) {
+// Guards against a change that each VM reads from the store although a neighbour has it already.
+func TestChangeIsFetchedFromNeighbour(t *testing.T) {
 	memory := metastore.NewMemory()
 	first := directory.New(self).Relay()
-	teller := followNear(t, memory, first, &neighbour{})
-	store, relay, near := &counting{Store: memory}, directory.New(self).Relay(), &neighbour{relay: first}
-	stop := tell(relay, 1)
-	s := followNear(t, store, relay, near)
+	coordinator := startWatcherWithNeighbours(t, memory, first, &fakeNeighbour{})
+	store, relay, near := &countingStore{Store: memory}, directory.New(self).Relay(), &fakeNeighbour{relay: first}
+	stop := publish(relay, 1)
+	s := startWatcherWithNeighbours(t, store, relay, near)
 	time.Sleep(100 * time.Millisecond)
 	put(t, memory, "a")
-	eventually(t, func() bool { return teller.has(1) })
+	eventually(t, func() bool { return coordinator.has(1) })
 	stop()
-	stop = tell(relay, 1)
+	stop = publish(relay, 1)
 	defer stop()
 	relay.Tell(directory.News{directory.Registrations: {Matters: 1, Seen: 1}}, mono.System{}.Now())
 	eventually(t, func() bool { return s.has(1) })
 	if n := store.count(); n != 0 {
 		t.Fatalf("%d calls to the store", n)
 	}
-	if kept, ok := relay.AwaitKept(t.Context(), directory.Registrations, 1); !ok || len(kept.Rows) != 1 {
-		t.Fatalf("it keeps %+v for others", kept)
+	if snapshot, ok := relay.AwaitKept(t.Context(), directory.Registrations, 1); !ok || len(snapshot.Rows) != 1 {
+		t.Fatalf("keeps %+v for others", snapshot)
 	}
 }
 
-// Guards against a change that does not come since the VM that was to tell it is gone: the store is asked.
-func TestTheStoreIsAskedWhereNoNeighbourHasTheChange(t *testing.T) {
-	store, relay, near := &counting{Store: metastore.NewMemory()}, directory.New(self).Relay(), &neighbour{}
+// Guards against a change that is not read because the VM that was to send it is gone: the store is
+// asked instead.
+func TestStoreIsAskedWhenNoNeighbourHasTheChange(t *testing.T) {
+	store, relay, near := &countingStore{Store: metastore.NewMemory()}, directory.New(self).Relay(), &fakeNeighbour{}
 	put(t, store.Store, "a")
-	stop := tell(relay, 1)
-	s := followNear(t, store, relay, near)
+	stop := publish(relay, 1)
+	s := startWatcherWithNeighbours(t, store, relay, near)
 	eventually(t, func() bool { return s.has(1) })
 	put(t, store.Store, "b")
 	stop()
-	stop = tell(relay, 2)
+	stop = publish(relay, 2)
 	defer stop()
 	eventually(t, func() bool { return s.has(2) })
 	if near.asked.Load() == 0 || store.count() != 1 {
--- a/internal/directory/relay_test.go
+++ b/internal/directory/relay_test.go
@@ -12,63 +12,63 @@
 	"github.com/buckthornshore/buckthornshore/pkg/mono"
 )
 
-// follow runs a watcher that is told of changes, and returns what it saw.
-func follow(t *testing.T, store metastore.Store, relay *directory.Relay) *seen {
+// startWatcher runs a watcher that receives news from relay, and returns what it records.
+func startWatcher(t *testing.T, store metastore.Store, relay *directory.Relay) *recorder {
 	t.Helper()
-	return followNear(t, store, relay, nil)
+	return startWatcherWithNeighbours(t, store, relay, nil)
 }
 
-// followNear runs one that asks neighbours before the store.
-func followNear(t *testing.T, store metastore.Store, relay *directory.Relay, near directory.Neighbours) *seen {
+// startWatcherWithNeighbours runs a watcher that also asks neighbours before the store.
+func startWatcherWithNeighbours(t *testing.T, store metastore.Store, relay *directory.Relay, near directory.Neighbours) *recorder {
 	t.Helper()
-	s := &seen{keys: map[string]bool{}}
+	s := &recorder{keys: map[string]bool{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	w := &directory.Watcher{
-		Store: store, Table: "t", Clock: mono.System{}, Log: slog.New(slog.DiscardHandler), All: s.all, Change: s.take,
+		Store: store, Table: "t", Clock: mono.System{}, Log: slog.New(slog.DiscardHandler), All: s.onListing, Change: s.onChange,
 		Feed: directory.Registrations, Relay: relay, Neighbours: near,
 	}
 	go w.Run(ctx)
 	return s
 }
 
-// tell has a coordinator tell of the version four times a second, until the test ends it.
-func tell(relay *directory.Relay, version uint64) (stop func()) {
+// publish has a coordinator report the version to relay every 100 ms until stop is called.
+func publish(relay *directory.Relay, version uint64) (stop func()) {
 	done := make(chan struct{})
-	say := func() {
+	report := func() {
 		relay.Tell(directory.News{directory.Registrations: {Matters: version, Seen: version}}, mono.System{}.Now())
 	}
-	say()
+	report()
 	go func() {
 		for {
 			select {
 			case <-done:
 				return
 			case <-time.After(100 * time.Millisecond):
-				say()
+				report()
 			}
 		}
 	}()
 	return func() { close(done) }
 }
 
-// A coordinator tells that nothing has changed, while targets send heartbeats: the VM leaves
-// the store alone. As it is told of a change it fetches that at once, with one call.
-func TestAVMThatIsToldOfChangesAsksTheStoreForThemOnly(t *testing.T) {
-	store := &counting{Store: metastore.NewMemory()}
+// A coordinator reports that nothing has changed, while targets send heartbeats: the VM does not call
+// the store. When a change is reported, the VM fetches it at once, with one call.
+func TestVMWithNewsCallsTheStoreForChangesOnly(t *testing.T) {
+	store := &countingStore{Store: metastore.NewMemory()}
 	relay := directory.New(self).Relay()
 	put(t, store.Store, "a")
-	stop := tell(relay, 1)
-	s := follow(t, store, relay)
+	stop := publish(relay, 1)
+	s := startWatcher(t, store, relay)
 	eventually(t, func() bool { return s.has(1) })
 	put(t, store.Store, heartbeat)
 	time.Sleep(300 * time.Millisecond)
 	if n := store.count(); n != 0 {
-		t.Fatalf("%d calls though nothing matters", n)
+		t.Fatalf("%d calls although nothing relevant has changed", n)
 	}
 	put(t, store.Store, "b")
 	stop()
-	stop = tell(relay, 3)
+	stop = publish(relay, 3)
 	defer stop()
 	eventually(t, func() bool { return s.has(3) })
 	if n := store.count(); n != 1 {
@@ -76,26 +76,26 @@
 	}
 }
 
-// The coordinator falls silent, and then the configuration changes: the VM watches the
-// store by itself and misses nothing.
-func TestAVMThatIsToldNothingWatchesByItself(t *testing.T) {
-	store := &counting{Store: metastore.NewMemory()}
+// The coordinator falls silent, and then the configuration changes: the VM watches the store
+// itself and misses nothing.
+func TestVMWithoutNewsWatchesTheStore(t *testing.T) {
+	store := &countingStore{Store: metastore.NewMemory()}
 	relay := directory.New(self).Relay()
-	stop := tell(relay, 1)
-	s := follow(t, store, relay)
+	stop := publish(relay, 1)
+	s := startWatcher(t, store, relay)
 	time.Sleep(200 * time.Millisecond)
 	stop()
 	put(t, store.Store, "a")
 	eventually(t, func() bool { return s.has(1) })
 }
 
-// The coordinator can't watch one of its feeds any more. It says so by leaving it out, and
-// the VM watches that one by itself.
-func TestAFeedThatIsNotToldOfIsWatched(t *testing.T) {
-	store := &counting{Store: metastore.NewMemory()}
+// The coordinator can't watch one of its feeds any more and leaves it out of its news: the VM
+// watches that feed itself.
+func TestFeedMissingFromNewsIsWatched(t *testing.T) {
+	store := &countingStore{Store: metastore.NewMemory()}
 	relay := directory.New(self).Relay()
-	stop := tell(relay, 1)
-	s := follow(t, store, relay)
+	stop := publish(relay, 1)
+	s := startWatcher(t, store, relay)
 	time.Sleep(200 * time.Millisecond)
 	stop()
 	relay.Tell(directory.News{directory.Configurations: {Matters: 1, Seen: 1}}, mono.System{}.Now())
@@ -104,75 +104,75 @@
 	eventually(t, func() bool { return s.has(1) })
 }
 
-// A coordinator's watch brings heartbeats all the time. What it tells the others is the
-// last change that matters, and nothing once its watch gets no answers.
-func TestHeartbeatsAreNotToldOf(t *testing.T) {
+// A coordinator's watch returns heartbeats all the time. The coordinator reports the last relevant
+// change to the others, and nothing once its watch gets no answers.
+func TestHeartbeatsAreNotReported(t *testing.T) {
 	store := metastore.NewMemory()
 	relay := directory.New(self).Relay()
 	put(t, store, "a")
-	s := follow(t, store, relay)
+	s := startWatcher(t, store, relay)
 	eventually(t, func() bool { return s.has(1) })
 	put(t, store, heartbeat)
 	eventually(t, func() bool { return s.has(2) })
 	now := mono.System{}.Now()
 	if got := relay.Noted(now, nil)[directory.Registrations].Matters; got != 1 {
-		t.Fatalf("tells of version %d", got)
+		t.Fatalf("reports version %d", got)
 	}
 	if got := relay.Noted(now.Add(time.Minute), nil); len(got) != 0 {
-		t.Fatalf("tells %v though its watch is not answered", got)
+		t.Fatalf("reports %v although its watch is not answered", got)
 	}
 }
 
-// refusing is a store that turns this VM away.
-type refusing struct {
-	*counting
-	refuses bool
+// rejectingStore is a store that rejects this VM's calls while rejecting is set.
+type rejectingStore struct {
+	*countingStore
+	rejecting bool
 }
 
-func (r *refusing) Watch(ctx context.Context, table string, after uint64, wait time.Duration) (metastore.Rows, error) {
-	rows, err := r.counting.Watch(ctx, table, after, wait)
+func (r *rejectingStore) Watch(ctx context.Context, table string, after uint64, wait time.Duration) (metastore.Rows, error) {
+	rows, err := r.countingStore.Watch(ctx, table, after, wait)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.refuses {
+	if r.rejecting {
 		return metastore.Rows{}, metastore.ErrNotDone
 	}
 	return rows, err
 }
 
-func (r *refusing) List(ctx context.Context, table string, keys metastore.Range) (metastore.Rows, error) {
+func (r *rejectingStore) List(ctx context.Context, table string, keys metastore.Range) (metastore.Rows, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.refuses {
+	if r.rejecting {
 		r.watches++
 		return metastore.Rows{}, metastore.ErrNotDone
 	}
 	return r.Store.List(ctx, table, keys)
 }
 
-// The store turns this VM away and serves the coordinator, which tells that nothing has
-// changed: the VM leaves the store alone, instead of asking it several times a second.
-func TestAVMThatIsTurnedAwayLeavesTheStoreAlone(t *testing.T) {
-	store := &refusing{counting: &counting{Store: metastore.NewMemory()}}
+// The store rejects this VM's calls and serves the coordinator, which reports that nothing has
+// changed: the VM makes no calls, instead of several a second.
+func TestRejectedVMWithNewsStopsCallingTheStore(t *testing.T) {
+	store := &rejectingStore{countingStore: &countingStore{Store: metastore.NewMemory()}}
 	relay := directory.New(self).Relay()
 	put(t, store.Store, "a")
-	s := follow(t, store, relay)
+	s := startWatcher(t, store, relay)
 	eventually(t, func() bool { return s.has(1) })
 	store.mu.Lock()
-	store.refuses = true
+	store.rejecting = true
 	store.mu.Unlock()
-	stop := tell(relay, 1)
+	stop := publish(relay, 1)
 	defer stop()
-	put(t, store.Store, heartbeat) // It ends the watch under way.
+	put(t, store.Store, heartbeat) // Ends the pending watch.
 	time.Sleep(300 * time.Millisecond)
 	before := store.count()
 	time.Sleep(time.Second)
 	if n := store.count() - before; n > 0 {
-		t.Fatalf("%d calls to a store that refuses", n)
+		t.Fatalf("%d calls to a store that rejects them", n)
 	}
 }
 
-// tellNews has a coordinator tell what its own relay knows, four times a second.
-func tellNews(t *testing.T, from, to *directory.Relay) {
+// forwardNews has the relay from report what it knows to the relay to, every 100 ms.
+func forwardNews(t *testing.T, from, to *directory.Relay) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -185,62 +185,62 @@
 	}()
 }
 
-// toldBy has a coordinator follow a store with one row, and tell what it knows to the relay of
-// another VM.
-func toldBy(t *testing.T, store metastore.Store) (coordinator *seen, relay *directory.Relay) {
+// startCoordinator has a coordinator follow a store with one row and report what it knows to the
+// relay of another VM.
+func startCoordinator(t *testing.T, store metastore.Store) (coordinator *recorder, relay *directory.Relay) {
 	t.Helper()
-	tells := directory.New(self).Relay()
+	coordinatorRelay := directory.New(self).Relay()
 	relay = directory.New(self).Relay()
-	coordinator = follow(t, store, tells)
+	coordinator = startWatcher(t, store, coordinatorRelay)
 	eventually(t, func() bool { return coordinator.has(1) })
-	tellNews(t, tells, relay)
+	forwardNews(t, coordinatorRelay, relay)
 	time.Sleep(50 * time.Millisecond)
 	return coordinator, relay
 }
 
-// A target registers. The coordinator's watch brings it, and the others have the change with
-// the next promise: 89 VMs that each fetched it made 89 calls of every change.
-func TestSmallChangesAreToldWithoutACallToTheStore(t *testing.T) {
+// A target registers. The coordinator's watch returns it, and the others receive the change with
+// the next promise. Guards against a call by each VM for each change: 89 VMs made 89 calls.
+func TestSmallChangesAreReceivedWithoutACallToTheStore(t *testing.T) {
 	store := metastore.NewMemory()
 	put(t, store, "a")
-	_, relay := toldBy(t, store)
-	asked := &counting{Store: store}
-	s := follow(t, asked, relay)
+	_, relay := startCoordinator(t, store)
+	counted := &countingStore{Store: store}
+	s := startWatcher(t, counted, relay)
 	eventually(t, func() bool { return s.has(1) })
-	before := asked.count()
+	before := counted.count()
 	put(t, store, "b")
 	put(t, store, "c")
 	eventually(t, func() bool { return s.has(3) })
-	if n := asked.count() - before; n != 0 {
-		t.Fatalf("%d calls for changes that were told", n)
+	if n := counted.count() - before; n != 0 {
+		t.Fatalf("%d calls for changes that were sent as rows", n)
 	}
 }
 
-// The store turns this VM away for long, and a target registers: the VM hears of it from the
-// coordinator, which the store serves, and reads go there too.
-func TestAVMThatIsTurnedAwayHearsOfChanges(t *testing.T) {
+// The store rejects this VM's calls for a long time, and a target registers: the VM receives the
+// change from the coordinator, whose calls the store serves, and reads go to the new target too.
+func TestRejectedVMReceivesChanges(t *testing.T) {
 	store := metastore.NewMemory()
 	put(t, store, "a")
-	_, relay := toldBy(t, store)
-	refuses := &refusing{counting: &counting{Store: store}}
-	s := follow(t, refuses, relay)
+	_, relay := startCoordinator(t, store)
+	rejecting := &rejectingStore{countingStore: &countingStore{Store: store}}
+	s := startWatcher(t, rejecting, relay)
 	eventually(t, func() bool { return s.has(1) })
-	refuses.mu.Lock()
-	refuses.refuses = true
-	refuses.mu.Unlock()
+	rejecting.mu.Lock()
+	rejecting.rejecting = true
+	rejecting.mu.Unlock()
 	put(t, store, "b")
 	eventually(t, func() bool { return s.has(2) })
 }
 
-// Nothing that matters changes for longer than the store keeps its history. Then a VM that
-// was told so all the while loses its coordinator: it goes on from where it was told, and
-// does not list the table anew.
-func TestAVMThatWasToldOfNothingKeepsUpWithTheHistory(t *testing.T) {
-	store := &counting{Store: metastore.NewMemory()}
+// No relevant change comes for longer than the store keeps its history. Then a VM that received news
+// of this all the while loses its coordinator: it continues from the last version reported to it,
+// and does not list the table again.
+func TestVMWithoutRelevantChangesKeepsUpWithTheHistory(t *testing.T) {
+	store := &countingStore{Store: metastore.NewMemory()}
 	relay := directory.New(self).Relay()
 	put(t, store, "a")
-	stop := tell(relay, 1)
-	s := follow(t, store, relay)
+	stop := publish(relay, 1)
+	s := startWatcher(t, store, relay)
 	eventually(t, func() bool { return s.has(1) })
 	put(t, store, heartbeat)
 	stop()
@@ -253,20 +253,20 @@
 	}
 }
 
-// Many targets register at once. What does not fit into a promise is fetched from the store:
-// the promise leaves it out, and says from where on it is whole.
+// Many targets register at once. Changes that do not fit into a promise are fetched from the store:
+// the promise leaves them out, and has the version after which it is complete.
 func TestChangesThatDoNotFitAreFetched(t *testing.T) {
 	store := metastore.NewMemory()
 	put(t, store, "a")
 	coordinator, relay := directory.New(self).Relay(), directory.New(self).Relay()
-	c := follow(t, store, coordinator)
+	c := startWatcher(t, store, coordinator)
 	eventually(t, func() bool { return c.has(1) })
-	s := follow(t, store, relay)
+	s := startWatcher(t, store, relay)
 	eventually(t, func() bool { return s.has(1) })
 	for i := range 60 {
 		put(t, store, "target-with-a-long-name-"+string(rune('A'+i)))
 	}
-	tellNews(t, coordinator, relay)
+	forwardNews(t, coordinator, relay)
 	eventually(t, func() bool { return s.has(61) })
 	now := mono.System{}.Now()
 	size := 0
@@ -278,14 +278,14 @@
 	}
 }
 
-// Guards against watches by all VMs as the coordinator changes: the new one has not asked the store yet,
-// and leaves feeds out of its first answers. Left out for longer, a feed is watched.
-func TestAFeedMayBeLeftOutForAMoment(t *testing.T) {
-	store := &counting{Store: metastore.NewMemory()}
+// Guards against watches by all VMs when the coordinator changes: the new one has not called the store
+// yet, and leaves feeds out of its first answers. A feed that is left out for longer is watched.
+func TestFeedMayBeMissingFromNewsBriefly(t *testing.T) {
+	store := &countingStore{Store: metastore.NewMemory()}
 	relay := directory.New(self).Relay()
 	put(t, store.Store, "a")
-	stop := tell(relay, 1)
-	s := follow(t, store, relay)
+	stop := publish(relay, 1)
+	s := startWatcher(t, store, relay)
 	eventually(t, func() bool { return s.has(1) })
 	stop()
 	relay.Tell(directory.News{directory.Configurations: {Matters: 1, Seen: 1}}, mono.System{}.Now())
@@ -296,35 +296,35 @@
 	eventually(t, func() bool { return store.count() > 0 })
 }
 
-// forgetful is a store that has dropped its history for the next watch.
-type forgetful struct {
+// historyLosingStore is a store that has no history for the next watch once losesHistory is set.
+type historyLosingStore struct {
 	metastore.Store
-	forgets atomic.Bool
+	losesHistory atomic.Bool
 }
 
-func (f *forgetful) Watch(ctx context.Context, table string, after uint64, wait time.Duration) (metastore.Rows, error) {
-	if f.forgets.CompareAndSwap(true, false) {
+func (f *historyLosingStore) Watch(ctx context.Context, table string, after uint64, wait time.Duration) (metastore.Rows, error) {
+	if f.losesHistory.CompareAndSwap(true, false) {
 		return metastore.Rows{}, metastore.ErrHistoryGone
 	}
 	return f.Store.Watch(ctx, table, after, wait)
 }
 
-// Guards against fetches by all VMs as the store forgets its history: the coordinator lists anew, finds
-// what it knew, and has nothing to tell.
-func TestAListingWithoutNewsIsNotFetched(t *testing.T) {
+// Guards against fetches by all VMs when the store loses its history: the coordinator lists the table
+// again, finds nothing new, and has no change to report.
+func TestListingWithoutChangesIsNotFetched(t *testing.T) {
 	memory := metastore.NewMemory()
-	watched := &forgetful{Store: memory}
-	store := &counting{Store: memory}
+	watched := &historyLosingStore{Store: memory}
+	store := &countingStore{Store: memory}
 	coordinator, relay := directory.New(self).Relay(), directory.New(self).Relay()
 	put(t, memory, "a")
-	c := follow(t, watched, coordinator)
+	c := startWatcher(t, watched, coordinator)
 	eventually(t, func() bool { return c.has(1) })
-	tellNews(t, coordinator, relay)
+	forwardNews(t, coordinator, relay)
 	time.Sleep(50 * time.Millisecond)
-	s := follow(t, store, relay)
+	s := startWatcher(t, store, relay)
 	eventually(t, func() bool { return s.has(1) })
-	watched.forgets.Store(true)
-	put(t, memory, heartbeat) // Ends the watch under way.
+	watched.losesHistory.Store(true)
+	put(t, memory, heartbeat) // Ends the pending watch.
 	eventually(t, func() bool { return c.listings() > 1 })
 	time.Sleep(500 * time.Millisecond)
 	if n := store.count(); n != 0 || s.listings() != 1 {
@@ -334,36 +334,36 @@
 	eventually(t, func() bool { return s.has(2) })
 }
 
-// The coordinator's place goes to another VM. The others know of changes only through it, and
-// watch the store themselves, each three tables, unless it can tell at once: so it asks the store
-// as it takes the place, and does not wait until it trusts its predecessor no more.
-func TestANewCoordinatorAsksTheStoreAtOnce(t *testing.T) {
-	store := &counting{Store: metastore.NewMemory()}
+// Another VM becomes the coordinator. The others learn of changes only through it, and watch the store
+// themselves, three tables each, unless it can report at once: so it calls the store as it takes over,
+// and does not wait until its predecessor's news is no longer valid.
+func TestNewCoordinatorCallsTheStoreAtOnce(t *testing.T) {
+	store := &countingStore{Store: metastore.NewMemory()}
 	relay := directory.New(self).Relay()
 	put(t, store.Store, "a")
-	stop := tell(relay, 1)
+	stop := publish(relay, 1)
 	defer stop()
-	s := follow(t, store, relay)
+	s := startWatcher(t, store, relay)
 	eventually(t, func() bool { return s.has(1) })
 	relay.SetTelling(true)
 	eventually(t, func() bool { return store.count() > 0 })
-	if told, ok := relay.Noted(mono.System{}.Now(), nil)[directory.Registrations]; !ok || told.Seen == 0 {
-		t.Fatalf("%+v", told)
+	if news, ok := relay.Noted(mono.System{}.Now(), nil)[directory.Registrations]; !ok || news.Seen == 0 {
+		t.Fatalf("%+v", news)
 	}
 }
 
-// VMs start for the first time, and nobody coordinates yet. Each watches the store at once: the one
-// that writes the first row must know who is there. With a coordinator known they hope to be told
-// first, and watch when they are not.
-func TestNobodyHopesToBeToldBeforeThereIsACoordinator(t *testing.T) {
+// VMs start for the first time, and there is no coordinator yet. Each watches the store at once: the VM
+// that writes the first row must know which VMs there are. Once a coordinator is known, VMs wait for
+// news first, and watch the store when there is none.
+func TestVMsWaitForNewsOnlyWithAKnownCoordinator(t *testing.T) {
 	for _, expected := range []bool{false, true} {
-		store := &counting{Store: metastore.NewMemory()}
+		store := &countingStore{Store: metastore.NewMemory()}
 		relay := directory.New(self).Relay()
 		if expected {
 			relay.Expect()
 		}
 		put(t, store.Store, "a")
-		s := follow(t, store, relay)
+		s := startWatcher(t, store, relay)
 		eventually(t, func() bool { return s.has(1) })
 		time.Sleep(200 * time.Millisecond)
 		if watches := store.count() > 0; watches == expected {
@@ -373,49 +373,49 @@
 	}
 }
 
-// heldListing is a store whose watch finds more than it reads, and whose listings take until they
-// are released.
-type heldListing struct {
-	*counting
+// blockedListingStore is a store that, while large is set, returns more changes than a watch reads, and
+// whose listings block until released is closed.
+type blockedListingStore struct {
+	*countingStore
 	large    atomic.Bool
 	released chan struct{}
 }
 
-func (h *heldListing) Watch(ctx context.Context, table string, after uint64, wait time.Duration) (metastore.Rows, error) {
-	rows, err := h.counting.Watch(ctx, table, after, wait)
+func (h *blockedListingStore) Watch(ctx context.Context, table string, after uint64, wait time.Duration) (metastore.Rows, error) {
+	rows, err := h.countingStore.Watch(ctx, table, after, wait)
 	if h.large.Load() && len(rows.Rows) > 0 {
 		return metastore.Rows{}, metastore.ErrHistoryTooLarge
 	}
 	return rows, err
 }
 
-func (h *heldListing) List(ctx context.Context, table string, keys metastore.Range) (metastore.Rows, error) {
+func (h *blockedListingStore) List(ctx context.Context, table string, keys metastore.Range) (metastore.Rows, error) {
 	if h.large.Load() {
 		<-h.released
 	}
-	return h.counting.List(ctx, table, keys)
+	return h.countingStore.List(ctx, table, keys)
 }
 
-// A large change comes, which takes the coordinator long to read. The others are told before it
-// has it, and list the table with the one call that brings it; they don't try a watch.
-func TestALargeChangeIsToldBeforeItIsRead(t *testing.T) {
+// A large change takes the coordinator long to read. The others are informed before the coordinator has
+// it, and list the table, the one call that returns the change; they don't try a watch.
+func TestLargeChangeIsReportedBeforeItIsRead(t *testing.T) {
 	store := metastore.NewMemory()
 	put(t, store, "a")
-	held := &heldListing{counting: &counting{Store: store}, released: make(chan struct{})}
-	c, relay := toldBy(t, held)
-	asked := &counting{Store: store}
-	s := follow(t, asked, relay)
+	blocked := &blockedListingStore{countingStore: &countingStore{Store: store}, released: make(chan struct{})}
+	c, relay := startCoordinator(t, blocked)
+	counted := &countingStore{Store: store}
+	s := startWatcher(t, counted, relay)
 	eventually(t, func() bool { return s.has(1) })
-	watches, listings := asked.count(), s.listings()
-	held.large.Store(true)
+	watches, listings := counted.count(), s.listings()
+	blocked.large.Store(true)
 	put(t, store, "b")
 	eventually(t, func() bool { return s.has(2) })
 	if c.has(2) {
 		t.Error("the coordinator has read it already")
 	}
-	if w, l := asked.count()-watches, s.listings()-listings; w != 0 || l != 1 {
+	if w, l := counted.count()-watches, s.listings()-listings; w != 0 || l != 1 {
 		t.Errorf("%d watches and %d listings for one change", w, l)
 	}
-	close(held.released)
+	close(blocked.released)
 	eventually(t, func() bool { return c.has(2) })
 }
--- a/internal/directory/timing_test.go
+++ b/internal/directory/timing_test.go
@@ -11,39 +11,40 @@
 	"github.com/buckthornshore/buckthornshore/pkg/mono"
 )
 
-// timed is what a watcher took over, with the moments before it was written.
-type timed struct{ *seen }
+// timedRecorder records the rows that a watcher received, with a moment before each was written.
+type timedRecorder struct{ *recorder }
 
-// timedWait is how long its watches wait.
+// timedWait is the wait of the watches of startTimedWatcher.
 const timedWait = 400 * time.Millisecond
 
-// followTimed runs a watcher that may be told by a relay.
-func followTimed(t *testing.T, store metastore.Store, relay *directory.Relay) timed {
+// startTimedWatcher runs a watcher that receives news from relay unless it is nil.
+func startTimedWatcher(t *testing.T, store metastore.Store, relay *directory.Relay) timedRecorder {
 	t.Helper()
-	s := timed{&seen{keys: map[string]bool{}, after: map[string]mono.Time{}, at: map[string]mono.Time{}}}
+	s := timedRecorder{&recorder{keys: map[string]bool{}, writtenAfter: map[string]mono.Time{}, at: map[string]mono.Time{}}}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	w := &directory.Watcher{
-		Store: store, Table: "t", Clock: mono.System{}, Log: slog.New(slog.DiscardHandler), All: s.all, Change: s.take,
+		Store: store, Table: "t", Clock: mono.System{}, Log: slog.New(slog.DiscardHandler), All: s.onListing, Change: s.onChange,
 		Feed: directory.Registrations, Relay: relay, Wait: func() time.Duration { return timedWait },
 	}
 	go w.Run(ctx)
 	return s
 }
 
-// followTold runs one that has seen the first row and is told that there is nothing new, until the teller is stopped.
-func followTold(t *testing.T) (store metastore.Store, relay *directory.Relay, s timed, stop func()) {
+// startWatcherWithNews runs a watcher that has seen the first row and receives the news that there is
+// nothing newer, until stop is called.
+func startWatcherWithNews(t *testing.T) (store metastore.Store, relay *directory.Relay, s timedRecorder, stop func()) {
 	t.Helper()
 	store, relay = metastore.NewMemory(), directory.New(self).Relay()
 	put(t, store, "first")
-	stop = tell(relay, 1)
-	s = followTimed(t, store, relay)
+	stop = publish(relay, 1)
+	s = startTimedWatcher(t, store, relay)
 	eventually(t, func() bool { return s.has(1) })
 	return store, relay, s, stop
 }
 
-// expect checks that a row is taken for written before it was, and by how much at most.
-func (s timed) expect(t *testing.T, key string, written mono.Time, most time.Duration) {
+// expect checks that the moment recorded for a row is not after written, and at most `most` before it.
+func (s timedRecorder) expect(t *testing.T, key string, written mono.Time, most time.Duration) {
 	t.Helper()
 	eventually(t, func() bool {
 		s.mu.Lock()
@@ -52,22 +53,22 @@
 	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if after := s.after[key]; after > written || written.Sub(after) > most {
-		t.Fatalf("%s is taken for written up to %v before it was", key, written.Sub(after))
+	if writtenAfter := s.writtenAfter[key]; writtenAfter > written || written.Sub(writtenAfter) > most {
+		t.Fatalf("%s: the moment before it was written is %v before written", key, written.Sub(writtenAfter))
 	}
 }
 
-// Guards against changes that are taken for younger than they are since a watch has brought them late.
-func TestAChangeIsNoYoungerThanTheWatchBefore(t *testing.T) {
+// Guards against changes that are considered younger than they are because a watch returned them late.
+func TestChangeIsNoYoungerThanThePreviousWatch(t *testing.T) {
 	store := metastore.NewMemory()
 	put(t, store, "first")
-	s := followTimed(t, store, nil)
+	s := startTimedWatcher(t, store, nil)
 	eventually(t, func() bool { return s.has(1) })
 	s.mu.Lock()
-	first := s.after["first"]
+	first := s.writtenAfter["first"]
 	s.mu.Unlock()
 	if first != 0 {
-		t.Fatalf("a row of the first listing is taken for written after %d", first)
+		t.Fatalf("a row of the first listing is recorded as written after %d", first)
 	}
 	time.Sleep(2*timedWait + timedWait/2)
 	written := mono.System{}.Now()
@@ -75,28 +76,30 @@
 	s.expect(t, "second", written, timedWait+timedWait/2)
 }
 
-// Guards against changes that are taken for written when a coordinator told of them, as they are told for a while.
-func TestAToldChangeIsAsOldAsItsCoordinatorSays(t *testing.T) {
-	teller, relay := directory.New(self).Relay(), directory.New(self).Relay()
+// Guards against changes that are considered written at the time of a coordinator's report: it repeats
+// its reports of a change for a while.
+func TestReceivedChangeHasTheAgeThatItsCoordinatorReports(t *testing.T) {
+	coordinator, relay := directory.New(self).Relay(), directory.New(self).Relay()
 	store := metastore.NewMemory()
 	put(t, store, "first")
 	clock := mono.System{}
 	began := clock.Now()
-	teller.NoteListing(directory.Registrations, 1, true, began)
-	relay.Tell(teller.Noted(began, nil), began)
-	s := followTimed(t, store, relay)
+	coordinator.NoteListing(directory.Registrations, 1, true, began)
+	relay.Tell(coordinator.Noted(began, nil), began)
+	s := startTimedWatcher(t, store, relay)
 	eventually(t, func() bool { return s.has(1) })
 	after := clock.Now()
-	teller.NoteChanges(directory.Registrations, 2, []metastore.Row{{Key: "second", Version: 2}}, after, clock.Now())
+	coordinator.NoteChanges(directory.Registrations, 2, []metastore.Row{{Key: "second", Version: 2}}, after, clock.Now())
 	time.Sleep(400 * time.Millisecond)
 	sent := clock.Now()
-	relay.Tell(teller.Noted(clock.Now(), directory.Followed{directory.Registrations: 1}), sent)
+	relay.Tell(coordinator.Noted(clock.Now(), directory.Followed{directory.Registrations: 1}), sent)
 	s.expect(t, "second", after, 50*time.Millisecond)
 }
 
-// Guards against a row of a VM of an earlier version, which does not say its age, that is taken for just written.
-func TestAToldChangeWithoutAnAgeIsNoYoungerThanTheLastWordThatThereWasNone(t *testing.T) {
-	_, relay, s, stop := followTold(t)
+// Guards against a row that is considered just written because it comes from a VM of an earlier version,
+// which does not report the row's age.
+func TestReceivedChangeWithoutAgeIsNoYoungerThanThePreviousReport(t *testing.T) {
+	_, relay, s, stop := startWatcherWithNews(t)
 	stop()
 	written := mono.System{}.Now()
 	time.Sleep(200 * time.Millisecond)
@@ -106,21 +109,22 @@
 	s.expect(t, "second", written, 3*time.Second)
 }
 
-// Guards against a change that a VM reads from the store by itself, as it is told that there is one, and takes for
-// younger than the last word that there was none, or for as old as its own last call.
-func TestAFetchedChangeIsNoYoungerThanTheLastWordThatThereWasNone(t *testing.T) {
-	store, relay, s, stop := followTold(t)
-	const fresh = 2 * time.Second // How old a coordinator's own view may be.
-	time.Sleep(fresh + time.Second)
+// Guards against a wrong age of a change that a VM reads from the store itself after a report that there
+// is one: it must be neither younger than the last report that there was none, nor as old as the VM's
+// own last call.
+func TestFetchedChangeIsNoYoungerThanThePreviousReport(t *testing.T) {
+	store, relay, s, stop := startWatcherWithNews(t)
+	const maxAnswerAge = 2 * time.Second // How old a coordinator's own view may be.
+	time.Sleep(maxAnswerAge + time.Second)
 	stop()
 	written := mono.System{}.Now()
 	put(t, store, "second")
-	stop = tell(relay, 2)
+	stop = publish(relay, 2)
 	defer stop()
-	s.expect(t, "second", written, fresh+300*time.Millisecond)
+	s.expect(t, "second", written, maxAnswerAge+300*time.Millisecond)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.at["first"].Add(500*time.Millisecond) > s.after["second"] {
+	if s.at["first"].Add(500*time.Millisecond) > s.writtenAfter["second"] {
 		t.Fatal("it is taken for as old as the VM's own last call")
 	}
 }
--- a/internal/directory/vms.go
+++ b/internal/directory/vms.go
@@ -7,7 +7,7 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// SetVM takes over a VM's registration; an earlier incarnation is passed over.
+// SetVM stores a VM's registration unless it is of an earlier incarnation than the stored one.
 func (d *Directory) SetVM(vm topology.VM) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -19,10 +19,10 @@
 	d.stale = true
 	known.Incarnation = vm.Incarnation
 	if known == vm {
-		return // Another start of the same VM changes nothing else.
+		return // A restart of the same VM changes nothing else.
 	}
-	d.forgetHolders()
-	d.tell()
+	d.resetHolders()
+	d.notify()
 }
 
 // SetVMs replaces all registrations by those of one listing, and reports whether that changes any.
@@ -41,12 +41,12 @@
 		return false
 	}
 	d.vms = listed
-	d.forgetHolders()
-	d.tell()
+	d.resetHolders()
+	d.notify()
 	return true
 }
 
-// NoteStart takes over which start of a VM runs: its registration may be of an earlier one.
+// NoteStart records the incarnation as which a VM runs: its registration may be of an earlier one.
 func (d *Directory) NoteStart(id topology.VMID, incarnation topology.Incarnation) {
 	d.mu.RLock()
 	vm, ok := d.vms[id]
@@ -58,13 +58,13 @@
 	d.SetVM(vm)
 }
 
-// RemoveVM forgets a VM that is no longer registered.
+// RemoveVM removes a VM that is no longer registered.
 func (d *Directory) RemoveVM(id topology.VMID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.vms, id)
-	d.forgetHolders()
-	d.tell()
+	d.resetHolders()
+	d.notify()
 }
 
 // VM returns a registered VM.
@@ -75,9 +75,9 @@
 	return vm, ok
 }
 
-// VMs returns the registered VMs in order of their names. The slice must not be changed.
+// VMs returns the registered VMs ordered by ID. The slice must not be changed.
 func (d *Directory) VMs() []topology.VM {
-	d.lists()
+	d.rlockLists()
 	defer d.mu.RUnlock()
 	return d.vmList
 }
@@ -89,7 +89,7 @@
 		return nil
 	}
 	if d.stale {
-		d.makeLists()
+		d.rebuildLists()
 	}
 	if d.placement == nil {
 		d.placement = placement.NewVMs(d.vmList)
@@ -99,14 +99,14 @@
 	return holders
 }
 
-// forgetHolders has the holders chosen anew: the VMs have changed.
-func (d *Directory) forgetHolders() {
+// resetHolders discards the chosen holders; they are chosen again when they are next asked for.
+func (d *Directory) resetHolders() {
 	clear(d.holders)
 	d.placement = nil
 }
 
-// HolderFor names the holder of a target through which a customer's requests go first; "" stands for
-// any of them.
+// HolderFor returns the holder of a target to which a customer's requests go first, or "" if any
+// holder will do.
 func (d *Directory) HolderFor(t topology.Target, customer topology.CustomerID) topology.VMID {
 	if customer == "" || d.Configuration().Customers.Len() == 0 {
 		return ""
@@ -118,8 +118,8 @@
 	return placement.ForCustomer(t.ID, customer, holders)[0]
 }
 
-// Holders returns the VMs that connect to a target themselves; the others reach it through them. There
-// are none before the first configuration. The slice must not be changed.
+// Holders returns the VMs that connect to a target themselves; the other VMs reach it through them.
+// There are none before the first configuration. The slice must not be changed.
 func (d *Directory) Holders(t topology.Target) []topology.VMID {
 	d.mu.RLock()
 	holders, ok := d.holders[t.ID]
--- a/internal/directory/watcher.go
+++ b/internal/directory/watcher.go
@@ -16,167 +16,168 @@
 )
 
 const (
-	// watchWait is how long the store holds a watch without a change. A watch on a
-	// connection that has gone silent is noticed that late, and a configuration
-	// has to be in force within three seconds.
+	// watchWait is how long the store holds a watch without a change. A silently broken
+	// connection is noticed that late, and a configuration has to be in force within three
+	// seconds.
 	watchWait = 1800 * time.Millisecond
-	// watchRetry after a second failed call; it doubles up to longestRetry.
-	watchRetry   = 200 * time.Millisecond
-	longestRetry = 1600 * time.Millisecond
-	// fetchWait is the wait of a watch that only fetches what has changed already.
+	// retryDelay is the delay after a second failed call; it doubles up to maxRetryDelay.
+	retryDelay    = 200 * time.Millisecond
+	maxRetryDelay = 1600 * time.Millisecond
+	// fetchWait is the wait of a watch that only fetches earlier changes.
 	fetchWait = time.Millisecond
 )
 
-// Watcher keeps one table of the store in view.
+// Watcher follows one table of the store.
 type Watcher struct {
 	Store metastore.Store
 	Table string
 	Clock mono.Clock
 	Log   *slog.Logger
-	// Wait returns the wait of the next watch, or 0 for the usual one; nil: always.
+	// Wait returns the wait of the next watch, or 0 for the usual one; nil stands for the usual one.
 	Wait func() time.Duration
-	// Rest returns how long to wait after a change before the next watch; nil: not at
-	// all. Where many rows change together, as the registrations at a start, the next
-	// watch then brings them all, and not one call for each.
+	// Rest returns how long to pause after a change before the next watch; nil means no pause. Where
+	// many rows change together, as the registrations at a start, the next watch then returns them
+	// all, in place of one call for each.
 	Rest func() time.Duration
-	// Feed is what the table is to this VM, and Relay where it is told of changes; nil:
-	// it watches always.
+	// Feed identifies the table in Relay, from which the watcher receives news of changes. If Relay
+	// is nil, it always watches the store.
 	Feed  Feed
 	Relay *Relay
-	// Neighbours are asked for changes before the store is; nil: nobody is. The watcher keeps its rows for
-	// them then.
+	// Neighbours are asked for changes before the store is; nil means that none are. If it is set,
+	// the watcher stores its rows in Relay for them.
 	Neighbours Neighbours
-	// All is called with the rows of a listing: rows that are not among them are gone. It reports whether
-	// that says something new that matters to the VMs.
+	// All is called with the rows of a listing: rows that are not among them no longer exist. It
+	// reports whether the listing shows anything new that is relevant to the VMs.
 	All func(rows []metastore.Row, at Timing) bool
-	// Change is called for each row that changed after, and reports whether the change
-	// matters to the VMs.
+	// Change is called for each row that changes after a listing, and reports whether the change is
+	// relevant to the VMs.
 	Change func(row metastore.Row, at Timing) bool
-	// Seen is called after each answer of a call that was sent at began; nil:
-	// nobody asks.
+	// Seen, unless nil, is called after each answer of the store, with the time at which the call
+	// was sent.
 	Seen func(began mono.Time)
 }
 
-// Timing is when rows were read, and when those that are new were written.
+// Timing is when rows were read, and a time after which the new ones among them were written.
 type Timing struct {
-	// Began is when the call that brought them was sent.
+	// Began is when the call that returned the rows was sent.
 	Began mono.Time
-	// After is the last moment at which what the watcher had was up to date; 0: it had nothing.
+	// After is the last moment at which the watcher's rows were up to date; 0 if it had none.
 	After mono.Time
 }
 
-// followed is how far a watcher has come.
-type followed struct {
-	// version up to which everything that matters was seen.
+// progress is how far a watcher has followed its table.
+type progress struct {
+	// version is the one up to which all relevant changes were seen.
 	version uint64
-	// current is the last moment at which that was known to be all that matters; 0: nothing was seen yet.
-	current mono.Time
-	// told is the version of the newest change that the coordinator last told of; 0: of none.
-	told uint64
-	// failures of calls in a row, the first at failing.
-	failures int
-	failing  mono.Time
+	// upToDateAt is the last moment at which version was known to include all relevant changes; 0 if
+	// nothing was read yet.
+	upToDateAt mono.Time
+	// reported is the version of the newest change that the coordinator last reported; 0 if none.
+	reported uint64
+	// failures is the number of calls that failed in a row, the first of them at failingSince.
+	failures     int
+	failingSince mono.Time
 }
 
 // Run watches until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
-	f := &followed{}
+	p := &progress{}
 	for ctx.Err() == nil {
-		if err := w.list(ctx, f); err != nil {
-			w.failed(ctx, f, err)
+		if err := w.list(ctx, p); err != nil {
+			w.backOff(ctx, p, err)
 			continue
 		}
 		for ctx.Err() == nil {
-			err := w.watch(ctx, f)
-			if w.mustList(f, err) {
+			err := w.watch(ctx, p)
+			if w.mustList(p, err) {
 				break
 			}
 			if err != nil {
-				w.failed(ctx, f, err)
+				w.backOff(ctx, p, err)
 			}
 		}
 	}
 }
 
-// mustList reports whether a watch has failed since the changes that it asked for can't be had one
-// by one.
-func (w *Watcher) mustList(f *followed, err error) bool {
+// mustList reports whether a watch has failed because the changes that it asked for can't be read
+// one by one.
+func (w *Watcher) mustList(p *progress, err error) bool {
 	tooLarge := errors.Is(err, metastore.ErrHistoryTooLarge)
 	if !tooLarge && !errors.Is(err, metastore.ErrHistoryGone) {
 		return false
 	}
 	if tooLarge && w.Relay != nil {
-		w.Relay.NoteLarge(w.Feed, f.version, w.Clock.Now())
+		w.Relay.NoteLarge(w.Feed, p.version, w.Clock.Now())
 	}
-	w.Log.Info("event=store_history_gone", "table", w.Table, "version", f.version, "error", err, "outcome", "listed_again")
+	w.Log.Info("event=store_history_gone", "table", w.Table, "version", p.version, "error", err, "outcome", "listed_again")
 	return true
 }
 
 // list reads the whole table.
-func (w *Watcher) list(ctx context.Context, f *followed) error {
+func (w *Watcher) list(ctx context.Context, p *progress) error {
 	began := w.Clock.Now()
 	rows, err := w.Store.List(ctx, w.Table, metastore.All)
 	if err != nil {
 		return err
 	}
-	w.answered(f)
-	news := w.All(rows.Rows, Timing{Began: began, After: f.current})
-	w.seen(began)
-	f.version, f.current = rows.Version, max(f.current, began)
+	w.noteSuccess(p)
+	isNew := w.All(rows.Rows, Timing{Began: began, After: p.upToDateAt})
+	w.notifyAnswer(began)
+	p.version, p.upToDateAt = rows.Version, max(p.upToDateAt, began)
 	if w.Neighbours != nil {
-		w.Relay.Keep(w.Feed, rows.Rows, f.version)
+		w.Relay.Keep(w.Feed, rows.Rows, p.version)
 	}
 	if w.Relay != nil {
-		w.Relay.NoteListing(w.Feed, f.version, news, w.Clock.Now())
+		w.Relay.NoteListing(w.Feed, p.version, isNew, w.Clock.Now())
 	}
 	return nil
 }
 
-// watch waits for changes and takes them over. After a failure the same watch may be
-// repeated: it misses nothing as long as the history is kept.
-func (w *Watcher) watch(ctx context.Context, f *followed) error {
+// watch waits for changes and applies them. After a failure the same watch may be repeated: it
+// misses nothing as long as the store keeps the history.
+func (w *Watcher) watch(ctx context.Context, p *progress) error {
 	wait := w.wait()
 	if w.Relay != nil {
-		advice, told := w.Relay.Await(ctx, w.Feed, f.version, w.Clock)
-		f.told = told.Matters
-		f.current = max(f.current, w.Relay.currentAt(w.Feed, f.version))
+		action, reported := w.Relay.Await(ctx, w.Feed, p.version, w.Clock)
+		p.reported = reported.Matters
+		p.upToDateAt = max(p.upToDateAt, w.Relay.currentAt(w.Feed, p.version))
 		switch {
-		case advice == Take:
-			w.take(f, told)
+		case action == Take:
+			w.applyNews(p, reported)
 			return nil
-		case advice == Fetch && w.askNeighbours(ctx, f, told): // What is listed is large.
+		case action == Fetch && w.fetchFromNeighbours(ctx, p, reported): // Not for List: a neighbour refuses what would fill its link.
 			return nil
-		case advice == List:
-			return w.list(ctx, f)
-		case told.Matters <= f.version:
-			// Nothing matters up to there; the store may have dropped what is older.
-			f.version = max(f.version, told.Seen)
+		case action == List:
+			return w.list(ctx, p)
+		case reported.Matters <= p.version:
+			// No change up to there is relevant; the store may have dropped the older history.
+			p.version = max(p.version, reported.Seen)
 		}
-		if advice == Fetch || f.failures > 0 && w.Relay.Telling() {
-			wait = fetchWait // The others have to learn soon that the store is back.
+		if action == Fetch || p.failures > 0 && w.Relay.Telling() {
+			wait = fetchWait // The other VMs have to learn soon that the store is back.
 		}
 	}
 	began := w.Clock.Now()
-	calling, release := w.untilTelling(ctx)
-	changes, err := w.Store.Watch(calling, w.Table, f.version, wait)
-	ended := calling.Err() != nil && ctx.Err() == nil
+	callCtx, release := w.untilPublishing(ctx)
+	changes, err := w.Store.Watch(callCtx, w.Table, p.version, wait)
+	interrupted := callCtx.Err() != nil && ctx.Err() == nil
 	release()
 	switch {
-	case err != nil && ended:
+	case err != nil && interrupted:
 		return nil
 	case err != nil:
 		return err
 	}
-	w.answered(f)
-	at := Timing{Began: began, After: f.current}
-	matter := w.changed(changes.Rows, at)
-	w.seen(began)
-	f.version, f.current = max(f.version, changes.Version), max(f.current, w.currentAfter(changes, began, wait))
+	w.noteSuccess(p)
+	at := Timing{Began: began, After: p.upToDateAt}
+	relevant := w.applyRows(changes.Rows, at)
+	w.notifyAnswer(began)
+	p.version, p.upToDateAt = max(p.version, changes.Version), max(p.upToDateAt, w.completeAt(changes, began, wait))
 	if w.Neighbours != nil {
-		w.Relay.KeepChanges(w.Feed, changes.Rows, f.version)
+		w.Relay.KeepChanges(w.Feed, changes.Rows, p.version)
 	}
 	if w.Relay != nil {
-		w.Relay.NoteChanges(w.Feed, f.version, matter, at.After, w.Clock.Now())
+		w.Relay.NoteChanges(w.Feed, p.version, relevant, at.After, w.Clock.Now())
 	}
 	if w.Rest != nil && len(changes.Rows) > 0 {
 		pause.For(ctx, w.Rest())
@@ -184,122 +185,124 @@
 	return nil
 }
 
-// currentAfter returns a moment at which what a watch brought was all. The store answers one without changes when its
-// wait is over, others at any time since it was sent.
-func (w *Watcher) currentAfter(changes metastore.Rows, began mono.Time, wait time.Duration) mono.Time {
+// completeAt returns a moment at which what a watch returned was complete. The store answers a
+// watch without changes when its wait is over, and others at any time after they were sent.
+func (w *Watcher) completeAt(changes metastore.Rows, began mono.Time, wait time.Duration) mono.Time {
 	if len(changes.Rows) > 0 {
 		return began
 	}
 	return min(began.Add(wait), w.Clock.Now())
 }
 
-// untilTelling returns a context for a call that ends as the other VMs begin to rely on this one: a coordinator
-// whose watch still waits has heard nothing of the store, and would be replaced for that.
-func (w *Watcher) untilTelling(ctx context.Context) (context.Context, func()) {
+// untilPublishing returns a context for a call that ends when the other VMs begin to rely on this
+// one: a coordinator whose earlier watch is still waiting has no answer of the store, and would be
+// replaced for that.
+func (w *Watcher) untilPublishing(ctx context.Context) (context.Context, func()) {
 	if w.Relay == nil || w.Relay.Telling() {
 		return ctx, func() {}
 	}
-	calling, cancel := context.WithCancel(ctx)
-	begins := w.Relay.begins()
+	callCtx, cancel := context.WithCancel(ctx)
+	publishingStarted := w.Relay.publishingStarted()
 	go func() {
 		select {
-		case <-begins:
+		case <-publishingStarted:
 			cancel()
-		case <-calling.Done():
+		case <-callCtx.Done():
 		}
 	}()
-	return calling, cancel
+	return callCtx, cancel
 }
 
-// changed takes rows over and returns those that matter to the VMs.
-func (w *Watcher) changed(rows []metastore.Row, at Timing) []metastore.Row {
-	var matter []metastore.Row
+// applyRows passes rows to Change and returns those that are relevant to the VMs.
+func (w *Watcher) applyRows(rows []metastore.Row, at Timing) []metastore.Row {
+	var relevant []metastore.Row
 	for _, row := range rows {
 		if w.Change(row, at) {
-			matter = append(matter, row)
+			relevant = append(relevant, row)
 		}
 	}
-	return matter
+	return relevant
 }
 
-// askNeighbours reports whether another VM had the change that was told.
-func (w *Watcher) askNeighbours(ctx context.Context, f *followed, told Told) bool {
-	if w.Neighbours == nil || told.Matters <= f.version || w.Relay.Telling() {
+// fetchFromNeighbours applies the changes up to the reported one if another VM has them, and
+// reports whether one did.
+func (w *Watcher) fetchFromNeighbours(ctx context.Context, p *progress, news Told) bool {
+	if w.Neighbours == nil || news.Matters <= p.version || w.Relay.Telling() {
 		return false
 	}
-	kept, ok := w.Neighbours.Fetch(ctx, w.Feed, told.Matters)
+	snapshot, ok := w.Neighbours.Fetch(ctx, w.Feed, news.Matters)
 	if !ok {
 		return false
 	}
 	now := w.Clock.Now()
-	later := slices.DeleteFunc(slices.Clone(kept.Rows), func(r metastore.Row) bool { return r.Version <= f.version })
-	at := Timing{Began: now, After: f.current}
-	w.changed(later, at)
-	f.version = max(f.version, kept.Version)
-	w.Relay.Keep(w.Feed, kept.Rows, kept.Version)
-	w.Relay.NoteTold(w.Feed, f.version, later, at.After, now)
-	w.Log.Info("event=store_changes_told", "table", w.Table, "rows", len(later), "version", f.version, "by", "neighbour")
+	later := slices.DeleteFunc(slices.Clone(snapshot.Rows), func(r metastore.Row) bool { return r.Version <= p.version })
+	at := Timing{Began: now, After: p.upToDateAt}
+	w.applyRows(later, at)
+	p.version = max(p.version, snapshot.Version)
+	w.Relay.Keep(w.Feed, snapshot.Rows, snapshot.Version)
+	w.Relay.NoteTold(w.Feed, p.version, later, at.After, now)
+	w.Log.Info("event=store_changes_received", "table", w.Table, "rows", len(later), "version", p.version, "from", "neighbour")
 	return true
 }
 
-// take takes over changes that a coordinator told.
-func (w *Watcher) take(f *followed, told Told) {
+// applyNews applies changes that a coordinator sent as rows.
+func (w *Watcher) applyNews(p *progress, news Told) {
 	var later []metastore.Row
-	for _, row := range told.Rows {
-		if row.Version > f.version {
+	for _, row := range news.Rows {
+		if row.Version > p.version {
 			later = append(later, row)
 		}
 	}
 	now := w.Clock.Now()
-	at := Timing{Began: now, After: max(f.current, told.after)}
-	w.changed(later, at)
-	f.version = max(f.version, told.Seen)
+	at := Timing{Began: now, After: max(p.upToDateAt, news.writtenAfter)}
+	w.applyRows(later, at)
+	p.version = max(p.version, news.Seen)
 	if w.Neighbours != nil {
-		w.Relay.KeepChanges(w.Feed, later, f.version)
+		w.Relay.KeepChanges(w.Feed, later, p.version)
 	}
-	w.Relay.NoteTold(w.Feed, f.version, later, at.After, now)
-	w.Log.Info("event=store_changes_told", "table", w.Table, "rows", len(later), "version", f.version)
+	w.Relay.NoteTold(w.Feed, p.version, later, at.After, now)
+	w.Log.Info("event=store_changes_received", "table", w.Table, "rows", len(later), "version", p.version)
 }
 
-// failed waits before the next call. The first failure is mostly a connection that went
-// silent, and is made up for at once; a store that refuses for its load, or is out, gets
-// relief.
-func (w *Watcher) failed(ctx context.Context, f *followed, err error) {
-	if f.failures == 0 {
-		f.failing = w.Clock.Now()
+// backOff waits before the next call. The first failure is mostly a silently broken connection, and
+// the call is repeated at once; a store that rejects calls because of its load, or is down, is
+// called less often.
+func (w *Watcher) backOff(ctx context.Context, p *progress, err error) {
+	if p.failures == 0 {
+		p.failingSince = w.Clock.Now()
 	}
-	f.failures++
-	if ctx.Err() != nil || f.failures == 1 {
+	p.failures++
+	if ctx.Err() != nil || p.failures == 1 {
 		return
 	}
-	w.logFailure(f, err)
-	rest := min(longestRetry, watchRetry<<min(f.failures-2, 8))
+	w.logFailure(p, err)
+	delay := min(maxRetryDelay, retryDelay<<min(p.failures-2, 8))
 	if w.Relay != nil && w.Relay.Telling() {
-		rest = watchRetry // The others rely on it; all would take its place as the store returns.
+		delay = retryDelay // With longer delays, all VMs that rely on this one would take its place when the store returns.
 	}
-	pause.For(ctx, rest/2+rand.N(rest))
+	pause.For(ctx, delay/2+rand.N(delay))
 }
 
-// logFailure tells of each doubling of the failures in a row, so that an outage of any length
-// leaves few lines, and one that lasts does not look like one that ended. A VM whose version is
-// below what it was told serves what is no longer so.
-func (w *Watcher) logFailure(f *followed, err error) {
-	if f.failures&(f.failures-1) != 0 {
+// logFailure logs each doubling of the failures in a row, so that an outage of any length produces
+// few lines, and one that lasts does not look like one that ended. A VM whose version is below the
+// one reported to it serves outdated rows.
+func (w *Watcher) logFailure(p *progress, err error) {
+	if p.failures&(p.failures-1) != 0 {
 		return
 	}
 	event := "event=store_still_lost"
-	if f.failures == 2 {
+	if p.failures == 2 {
 		event = "event=store_lost"
 	}
-	w.Log.Warn(event, "table", w.Table, "failures", f.failures, "lasted", w.Clock.Now().Sub(f.failing),
-		"version", f.version, "told_version", f.told, "error", err)
+	w.Log.Warn(event, "table", w.Table, "failures", p.failures, "lasted", w.Clock.Now().Sub(p.failingSince),
+		"version", p.version, "told_version", p.reported, "error", err)
 }
 
-func (w *Watcher) answered(f *followed) {
-	if f.failures > 1 {
-		w.Log.Info("event=store_regained", "table", w.Table, "failures", f.failures, "lasted", w.Clock.Now().Sub(f.failing))
+func (w *Watcher) noteSuccess(p *progress) {
+	if p.failures > 1 {
+		w.Log.Info("event=store_regained", "table", w.Table, "failures", p.failures, "lasted", w.Clock.Now().Sub(p.failingSince))
 	}
-	f.failures = 0
+	p.failures = 0
 }
 
 func (w *Watcher) wait() time.Duration {
@@ -309,7 +312,7 @@
 	return cmp.Or(w.Wait(), watchWait)
 }
 
-func (w *Watcher) seen(began mono.Time) {
+func (w *Watcher) notifyAnswer(began mono.Time) {
 	if w.Seen != nil {
 		w.Seen(began)
 	}
--- a/internal/directory/watcher_test.go
+++ b/internal/directory/watcher_test.go
@@ -17,69 +17,69 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// counting counts the watches.
-type counting struct {
+// countingStore counts the watches.
+type countingStore struct {
 	metastore.Store
 	mu      sync.Mutex
 	watches int
 }
 
-func (c *counting) Watch(ctx context.Context, table string, after uint64, wait time.Duration) (metastore.Rows, error) {
+func (c *countingStore) Watch(ctx context.Context, table string, after uint64, wait time.Duration) (metastore.Rows, error) {
 	c.mu.Lock()
 	c.watches++
 	c.mu.Unlock()
 	return c.Store.Watch(ctx, table, after, wait)
 }
 
-func (c *counting) count() int {
+func (c *countingStore) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.watches
 }
 
-// seen keeps what a watcher told.
-type seen struct {
+// recorder records what a watcher received.
+type recorder struct {
 	mu     sync.Mutex
 	keys   map[string]bool
 	listed int
-	// after is a moment before each row was written, and at when it was taken over.
-	after, at map[string]mono.Time
+	// writtenAfter is a moment before each row was written, and at when it was received.
+	writtenAfter, at map[string]mono.Time
 }
 
-func (s *seen) take(r metastore.Row, at directory.Timing) bool {
+func (s *recorder) onChange(r metastore.Row, at directory.Timing) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.keys[r.Key] = !r.Deleted
-	if s.after != nil {
-		s.after[r.Key], s.at[r.Key] = at.After, mono.System{}.Now()
+	if s.writtenAfter != nil {
+		s.writtenAfter[r.Key], s.at[r.Key] = at.After, mono.System{}.Now()
 	}
 	return r.Key != heartbeat
 }
 
-// heartbeat is the key of a row whose changes matter to nobody.
+// heartbeat is the key of a row whose changes are not relevant to the VMs.
 const heartbeat = "heartbeat"
 
-func (s *seen) all(rows []metastore.Row, at directory.Timing) bool {
+func (s *recorder) onListing(rows []metastore.Row, at directory.Timing) bool {
 	s.mu.Lock()
 	s.listed++
 	s.mu.Unlock()
-	news := false
+	isNew := false
 	for _, r := range rows {
 		s.mu.Lock()
 		known := s.keys[r.Key]
 		s.mu.Unlock()
-		news = s.take(r, at) && !known || news
+		isNew = s.onChange(r, at) && !known || isNew
 	}
-	return news
+	return isNew
 }
 
-func (s *seen) listings() int {
+func (s *recorder) listings() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.listed
 }
 
-func (s *seen) has(n int) bool {
+func (s *recorder) has(n int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.keys) == n
@@ -87,14 +87,14 @@
 
 var self = topology.VM{ID: "vm"}
 
-func watch(t *testing.T, store metastore.Store, rest time.Duration) *seen {
+func startPlainWatcher(t *testing.T, store metastore.Store, delay time.Duration) *recorder {
 	t.Helper()
-	s := &seen{keys: map[string]bool{}}
+	s := &recorder{keys: map[string]bool{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	w := &directory.Watcher{
-		Store: store, Table: "t", Clock: mono.System{}, Log: slog.New(slog.DiscardHandler), All: s.all, Change: s.take,
-		Rest: func() time.Duration { return rest },
+		Store: store, Table: "t", Clock: mono.System{}, Log: slog.New(slog.DiscardHandler), All: s.onListing, Change: s.onChange,
+		Rest: func() time.Duration { return delay },
 	}
 	go w.Run(ctx)
 	return s
@@ -114,14 +114,14 @@
 			return
 		}
 	}
-	t.Fatal("not in time")
+	t.Fatal("condition not met in time")
 }
 
-// The store drops its history between two changes: the watcher lists the table anew and
+// The store drops its history between two changes: the watcher lists the table again and
 // misses neither.
-func TestAWatcherOutlastsALostHistory(t *testing.T) {
+func TestWatcherListsAgainAfterLossOfHistory(t *testing.T) {
 	store := metastore.NewMemory()
-	s := watch(t, store, 0)
+	s := startPlainWatcher(t, store, 0)
 	put(t, store, "a")
 	eventually(t, func() bool { return s.has(1) })
 	store.ForgetHistory()
@@ -129,35 +129,35 @@
 	eventually(t, func() bool { return s.has(2) })
 }
 
-// tooLarge is a store whose first watch has more changes than are read.
-type tooLarge struct {
+// tooLargeStore is a store whose first watch has more changes than a watch reads.
+type tooLargeStore struct {
 	metastore.Store
 	refused atomic.Bool
 }
 
-func (s *tooLarge) Watch(ctx context.Context, table string, after uint64, wait time.Duration) (metastore.Rows, error) {
+func (s *tooLargeStore) Watch(ctx context.Context, table string, after uint64, wait time.Duration) (metastore.Rows, error) {
 	if s.refused.CompareAndSwap(false, true) {
 		return metastore.Rows{}, metastore.ErrHistoryTooLarge
 	}
 	return s.Store.Watch(ctx, table, after, wait)
 }
 
-// A watcher has missed more changes than a watch reads: it lists the table, at once, and goes on
+// A watcher has missed more changes than a watch reads: it lists the table at once, and continues
 // from there.
-func TestAWatcherListsWhereItMissedTooMuch(t *testing.T) {
+func TestWatcherListsWhenItMissedTooMuch(t *testing.T) {
 	store := metastore.NewMemory()
 	put(t, store, "a")
-	s := watch(t, &tooLarge{Store: store}, 0)
+	s := startPlainWatcher(t, &tooLargeStore{Store: store}, 0)
 	eventually(t, func() bool { return s.listings() == 2 })
 	put(t, store, "b")
 	eventually(t, func() bool { return s.has(2) })
 }
 
-// Many VMs register at once, as after a loss of power. Each watcher brings them in a few
-// calls: one for each row would be the square of their number.
-func TestAWatcherRestsWhileManyRowsChange(t *testing.T) {
-	store := &counting{Store: metastore.NewMemory()}
-	s := watch(t, store, 100*time.Millisecond)
+// Many VMs register at once, as after a power failure. Each watcher reads them with a few calls:
+// one call for each row would make the square of their number.
+func TestWatcherReadsManyChangesWithFewCalls(t *testing.T) {
+	store := &countingStore{Store: metastore.NewMemory()}
+	s := startPlainWatcher(t, store, 100*time.Millisecond)
 	eventually(t, func() bool { return store.count() > 0 })
 	for i := range 50 {
 		put(t, store.Store, string(rune('A'+i)))
@@ -169,38 +169,38 @@
 	}
 }
 
-func TestAConfigurationNeverGoesBack(t *testing.T) {
+func TestConfigurationVersionNeverDecreases(t *testing.T) {
 	d := directory.New(topology.VM{ID: "vm"})
 	if !d.SetConfiguration(&directory.Configuration{Version: 5}) || d.SetConfiguration(&directory.Configuration{Version: 4}) {
-		t.Fatal("an older version was taken")
+		t.Fatal("an older version was installed")
 	}
 	if d.Configuration().Version != 5 {
-		t.Fatal("it went back")
+		t.Fatal("the version decreased")
 	}
 }
 
-// lostStore has a change that it tells of, and never delivers.
-type lostStore struct{ metastore.Store }
+// failingWatchStore is a store whose watches fail, so that its changes can't be fetched.
+type failingWatchStore struct{ metastore.Store }
 
-func (lostStore) Watch(context.Context, string, uint64, time.Duration) (metastore.Rows, error) {
+func (failingWatchStore) Watch(context.Context, string, uint64, time.Duration) (metastore.Rows, error) {
 	return metastore.Rows{}, errors.New("no whole reply")
 }
 
-// A VM is told of a change and can't fetch it. Its log must tell, for as long as that lasts, that
-// it serves an older version than others do, in a few lines.
-func TestAWatcherThatStaysBehindSaysSo(t *testing.T) {
+// A VM receives news of a change and can't fetch it. For as long as that lasts, its log must show in a
+// few lines that it serves an older version than others do.
+func TestWatcherThatStaysBehindLogsIt(t *testing.T) {
 	store := metastore.NewMemory()
 	put(t, store, "a")
 	relay := directory.New(self).Relay()
-	stop := tell(relay, 7)
+	stop := publish(relay, 7)
 	defer stop()
 	var log lockedBuffer
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	s := &seen{keys: map[string]bool{}}
+	s := &recorder{keys: map[string]bool{}}
 	w := &directory.Watcher{
-		Store: lostStore{store}, Table: "t", Clock: mono.System{}, Log: slog.New(slog.NewTextHandler(&log, nil)), All: s.all,
-		Change: s.take, Feed: directory.Registrations, Relay: relay,
+		Store: failingWatchStore{store}, Table: "t", Clock: mono.System{}, Log: slog.New(slog.NewTextHandler(&log, nil)), All: s.onListing,
+		Change: s.onChange, Feed: directory.Registrations, Relay: relay,
 	}
 	go w.Run(ctx)
 	eventually(t, func() bool { return strings.Contains(log.String(), "event=store_still_lost") })
@@ -214,7 +214,7 @@
 	}
 }
 
-// lockedBuffer is a log that is read while it is written.
+// lockedBuffer is a log that can be read while it is written.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -232,16 +232,16 @@
 	return l.b.String()
 }
 
-// Guards against a coordinator that hears nothing of the store for as long as its watch from before
-// waits: the watch ends as the others begin to rely on it.
-func TestAWatchEndsAsOthersBeginToRelyOnTheVM(t *testing.T) {
-	store := &counting{Store: metastore.NewMemory()}
+// Guards against a coordinator that gets no answer of the store for as long as a watch waits that it
+// sent before it coordinated: that watch ends when the others begin to rely on this VM.
+func TestWatchEndsWhenOthersBeginToRelyOnTheVM(t *testing.T) {
+	store := &countingStore{Store: metastore.NewMemory()}
 	relay := directory.New(self).Relay()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	s := &seen{keys: map[string]bool{}}
+	s := &recorder{keys: map[string]bool{}}
 	w := &directory.Watcher{
-		Store: store, Table: "t", Clock: mono.System{}, Log: slog.New(slog.DiscardHandler), All: s.all, Change: s.take,
+		Store: store, Table: "t", Clock: mono.System{}, Log: slog.New(slog.DiscardHandler), All: s.onListing, Change: s.onChange,
 		Wait: func() time.Duration { return time.Minute }, Feed: directory.OwnRows, Relay: relay,
 	}
 	go w.Run(ctx)
