--- a/internal/relay/follower.go
+++ b/internal/relay/follower.go
@@ -13,53 +13,53 @@
 	"github.com/buckthornshore/buckthornshore/rpc/peerpb"
 )
 
-// Periods of spreading. A change is in force everywhere after a relay's next
+// Periods and limits of the spreading of rows. A change is in force everywhere after a relay's next
 // poll and one answered watch.
 const (
-	// pollPeriod of a relay: 9 relays in each of 24 data centres make 432 reads/s.
-	// A longer one slows failovers down where announcements do not get through:
-	// promoters then hear of each change of the list by a poll.
+	// pollPeriod is how often a relay reads the platform: 9 relays in each of 24 data centres make
+	// 432 reads/s. A longer period slows failovers down where announcements do not get through:
+	// promoters there learn of each change of the list by a poll.
 	pollPeriod = 500 * time.Millisecond
-	// pollTimeout is how long the platform may be silent in a read; in an outage it frees the
-	// loop for the peers. All rows, as a start reads them, may take longer to come.
+	// pollTimeout is how long the platform may be silent during a read; in an outage it lets the
+	// loop go on to the peers. A read of all rows, as at a start, may take longer in total.
 	pollTimeout = time.Second
-	// watchWait of the others.
+	// watchWait is the wait of the watches of the other daemons.
 	watchWait = 3 * time.Second
-	// watchSlack is added to it before a watch counts as lost.
+	// watchSlack is added to the wait before a watch counts as lost.
 	watchSlack = time.Second
-	// staleSource is the platform's age at a source from which the next source is
-	// asked instead. Failure: the other relay of this data centre answers well,
-	// but has lost the platform as this one has, and no change ever comes.
-	staleSource = 2 * time.Second
-	// retryPause after a source failed.
-	retryPause = 200 * time.Millisecond
+	// maxSourceAge is how long ago a source may have reached the platform before the next source is
+	// asked instead. Without it, a relay that has lost the platform keeps asking the other relay of
+	// its data centre, which answers but has lost the platform too, and no change ever comes.
+	maxSourceAge = 2 * time.Second
+	// retryDelay is the delay after a source failed.
+	retryDelay = 200 * time.Millisecond
 )
 
-// Directory names the sources of a daemon.
+// Directory provides the sources that a daemon reads rows from.
 type Directory interface {
-	// IsRelay tells whether this VM reads the platform for its data centre.
+	// IsRelay reports whether this VM reads the platform for its data centre.
 	IsRelay() bool
-	// Relays returns the VMs to watch, the best first: the relays of this data
-	// centre, then some of others, for when this one has lost the platform.
+	// Relays returns the VMs to watch, the best first: the relays of this data centre, then some of
+	// others, for when this data centre has lost the platform.
 	Relays() []topology.VM
 }
 
-// Follower keeps a store fresh.
+// Follower keeps a store up to date.
 type Follower struct {
 	Self      topology.VM
 	Store     *Store
 	Table     platform.Table
 	Directory Directory
 	Peers     *peers.Table
-	// Seeds are asked while no other VM is known and the platform is out.
+	// Seeds are asked while no other VM is known and the platform is unreachable.
 	Seeds []peerpb.Relay
 	Log   *slog.Logger
 
-	next      int           // the source that a watch tries next
-	sourceAge time.Duration // of the platform at the source that answered last
+	next      int           // index of the source that the next watch asks
+	sourceAge time.Duration // how long ago the source that answered last reached the platform
 }
 
-// Run follows until ctx ends.
+// Run updates the store until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if f.Directory.IsRelay() {
@@ -69,21 +69,21 @@
 		}
 		if !f.watch(ctx, watchWait) {
 			f.poll(ctx)
-			wait.For(ctx, retryPause)
+			wait.For(ctx, retryDelay)
 		}
 	}
 }
 
-// pollOrWatch asks another relay when the platform does not answer: this data
-// centre alone may have lost it.
+// pollOrWatch reads the platform and, if that does not answer, asks another relay: perhaps only
+// this data centre has lost it.
 func (f *Follower) pollOrWatch(ctx context.Context) {
 	if !f.poll(ctx) && !f.watch(ctx, 0) {
 		f.askSeeds(ctx)
 	}
 }
 
-// askSeeds takes what the seeds hold, all of them: of each row the newest is
-// kept, so a daemon that starts in an outage has the highest version of the
+// askSeeds reads the rows of all seeds, not only of the first one that answers: the store keeps the
+// newest version of each row, so a daemon that starts in an outage has the highest version of the
 // configuration that any of them holds.
 func (f *Follower) askSeeds(ctx context.Context) {
 	if len(f.Directory.Relays()) > 0 {
@@ -110,7 +110,8 @@
 	return true
 }
 
-// watch asks one source; a failed one has the next asked next time.
+// watch asks one source. The next call asks the next source if this one fails or has not reached the
+// platform for maxSourceAge.
 func (f *Follower) watch(ctx context.Context, wait time.Duration) bool {
 	relays := f.Directory.Relays()
 	if len(relays) == 0 {
@@ -118,7 +119,7 @@
 	}
 	vm := relays[f.next%len(relays)]
 	answered := f.watchAt(ctx, f.Peers.Get(vm), wait)
-	if !answered || f.sourceAge > staleSource {
+	if !answered || f.sourceAge > maxSourceAge {
 		f.next++
 	}
 	return answered
--- a/internal/relay/scale_test.go
+++ b/internal/relay/scale_test.go
@@ -50,25 +50,25 @@
 	return n, err
 }
 
-// member is one daemon's spreading part. Its directory is fixed.
+// member is the part of one daemon that spreads rows. Its directory is fixed.
 type member struct {
-	vm     topology.VM
-	relays []topology.VM
-	relay  bool
-	bytes  atomic.Int64
-	store  *relay.Store
-	heard  chan time.Time
+	vm       topology.VM
+	relays   []topology.VM
+	relay    bool
+	bytes    atomic.Int64
+	store    *relay.Store
+	received chan time.Time
 }
 
 func (m *member) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	c, err := (&net.Dialer{}).DialContext(ctx, network, address)
 	return countedConn{c, &m.bytes}, err
 }
-func (m *member) Self() topology.VM              { return m.vm }
-func (m *member) Observe(membership.Evidence)    {}
-func (m *member) IsRelay() bool                  { return m.relay }
-func (m *member) Relays() []topology.VM          { return m.relays }
-func (m *member) take([]platform.Row, time.Time) { m.heard <- time.Now() }
+func (m *member) Self() topology.VM                { return m.vm }
+func (m *member) Observe(membership.Evidence)      {}
+func (m *member) IsRelay() bool                    { return m.relay }
+func (m *member) Relays() []topology.VM            { return m.relays }
+func (m *member) onRows([]platform.Row, time.Time) { m.received <- time.Now() }
 
 // countedTable counts the reads of the platform.
 type countedTable struct {
@@ -81,19 +81,19 @@
 	return t.Memory.Scan(ctx, prefix, since)
 }
 
-// centre is a data centre of n members, as many relays among them as it has.
-type centre struct {
+// dataCentre is a data centre of daemons, some of them relays, with the platform's table.
+type dataCentre struct {
 	table   *countedTable
 	members []*member
 	servers []*http.Server
 }
 
-func newCentre(ctx context.Context, n, relays int) *centre {
-	c := &centre{table: &countedTable{Memory: platform.NewMemory()}}
+func newDataCentre(ctx context.Context, n, relays int) *dataCentre {
+	c := &dataCentre{table: &countedTable{Memory: platform.NewMemory()}}
 	var addresses []topology.VM
 	for i := range n {
-		m := &member{vm: topology.VM{ID: topology.VMID(fmt.Sprint("vm-", i)), DataCentre: "a", Incarnation: 1}, heard: make(chan time.Time, 1024)}
-		m.store = relay.NewStore(m.take)
+		m := &member{vm: topology.VM{ID: topology.VMID(fmt.Sprint("vm-", i)), DataCentre: "a", Incarnation: 1}, received: make(chan time.Time, 1024)}
+		m.store = relay.NewStore(m.onRows)
 		c.members = append(c.members, m)
 		if m.relay = i < relays; m.relay {
 			m.vm.PeerAddress = c.serve(m)
@@ -112,8 +112,8 @@
 	return c
 }
 
-// serve answers watches on a listener whose bytes count as the relay's.
-func (c *centre) serve(m *member) string {
+// serve answers watches on a listener whose bytes are counted as the relay's.
+func (c *dataCentre) serve(m *member) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	handler := peerpb.NewRelayServer(relay.NewServer(m.store, c.table))
@@ -133,8 +133,8 @@
 	return countedConn{c, &l.m.bytes}, err
 }
 
-// change commits a row and returns how long each member took to hear of it.
-func (c *centre) change(n int) (took []time.Duration) {
+// change commits a row and returns how long each member took to receive it, in sorted order.
+func (c *dataCentre) change(n int) (took []time.Duration) {
 	value, _ := json.Marshal(n)
 	began := time.Now()
 	_, err := c.table.Commit(context.Background(), platform.Txn{Writes: []platform.Write{{Key: "config/preset", Value: value}}})
@@ -145,7 +145,7 @@
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			at := <-m.heard
+			at := <-m.received
 			mu.Lock()
 			defer mu.Unlock()
 			took = append(took, at.Sub(began))
@@ -157,13 +157,13 @@
 }
 
 var _ = Describe("Spreading", func() {
-	// Operators see a change on every daemon although both relays of a data centre
-	// die at once: those that watched them read the platform themselves, until
-	// membership gives them other relays.
+	// Guards against a change that does not reach every daemon because both relays of its data centre fail
+	// at once: the daemons that watched them read the platform themselves, until membership gives
+	// them other relays.
 	It("goes on when both relays die at once", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		c := newCentre(ctx, 10, 2)
+		c := newDataCentre(ctx, 10, 2)
 		c.change(1)
 		for _, s := range c.servers {
 			Expect(s.Close()).To(Succeed())
@@ -181,7 +181,7 @@
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		c := newCentre(ctx, size, relays)
+		c := newDataCentre(ctx, size, relays)
 		c.change(0)
 		sum := func(relay bool) (total int64, count int64) {
 			for _, m := range c.members {
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -9,12 +9,12 @@
 	"github.com/buckthornshore/buckthornshore/rpc/peerpb"
 )
 
-// maxWait bounds how long a watch is held: below the idle time-outs of
-// connections, so that a silent one is noticed.
+// maxWait bounds how long a watch is held. It is below the idle timeouts of connections, so that a
+// silently broken one is noticed.
 const maxWait = 5 * time.Second
 
-// Server answers other daemons from the store. Every daemon runs one: who cannot
-// reach its relays asks any peer.
+// Server answers other daemons from the store. Every daemon runs one: a daemon that can't reach its
+// relays asks any peer.
 type Server struct {
 	store   *Store
 	objects platform.Objects
@@ -23,19 +23,19 @@
 	blobs map[string][]byte
 }
 
-// NewServer makes a server over store; objects brings blobs not yet held.
+// NewServer returns a server for store; it reads blobs that it does not hold from objects.
 func NewServer(store *Store, objects platform.Objects) *Server {
 	return &Server{store: store, objects: objects, blobs: map[string][]byte{}}
 }
 
-// Watch implements peerpb.Relay: it answers at once when the caller lacks rows,
-// or with the next change, or when the wait is over.
+// Watch implements peerpb.Relay. It answers at once when the caller lacks rows, otherwise with the
+// next change or when the wait is over.
 func (s *Server) Watch(ctx context.Context, req *peerpb.WatchRequest) (*peerpb.WatchResponse, error) {
 	wait := min(time.Duration(req.WaitMs)*time.Millisecond, maxWait)
 	rows, revision, changed := s.store.Since(req.Revision)
 	if revision <= req.Revision {
-		// Rows above the store's revision were announced ahead of the next read;
-		// the caller may have them already, so they alone do not end the wait.
+		// Rows above the store's revision were announced before the next read; the caller may have
+		// them already, so they alone do not end the wait.
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
 		select {
@@ -68,7 +68,7 @@
 	return &peerpb.BlobResponse{Found: found, Blob: blob}, nil
 }
 
-// maxBlobs bounds the blobs kept; one document is in force at a time.
+// maxBlobs bounds the number of cached blobs; one document is in force at a time.
 const maxBlobs = 4
 
 // Get returns a blob from the cache or the object store. A name always has the
@@ -97,7 +97,7 @@
 	s.blobs[name] = blob
 }
 
-// RowsFrom reads rows from their messages.
+// RowsFrom converts protobuf messages to rows.
 func RowsFrom(in []*peerpb.Row) []platform.Row {
 	out := make([]platform.Row, 0, len(in))
 	for _, r := range in {
@@ -106,7 +106,7 @@
 	return out
 }
 
-// RowsTo writes rows to their messages.
+// RowsTo converts rows to protobuf messages.
 func RowsTo(in []platform.Row) []*peerpb.Row {
 	out := make([]*peerpb.Row, 0, len(in))
 	for _, r := range in {
--- a/internal/relay/store.go
+++ b/internal/relay/store.go
@@ -1,5 +1,5 @@
-// Package relay spreads the platform's rows: a few daemons of each data centre
-// read the table, the others hear from them.
+// Package relay spreads the platform's rows: a few daemons of each data centre, the relays, read the
+// table, and the other daemons get the rows from them.
 package relay
 
 import (
@@ -10,51 +10,50 @@
 	"github.com/buckthornshore/buckthornshore/pkg/platform"
 )
 
-// Prefixes of the rows that daemons need; others are the operators' history.
+// prefixes are those of the keys of rows that daemons need; other rows are the operators' history.
 var prefixes = []string{"group/", "config/", "vm/"}
 
-// Store holds the rows that a daemon knows. Safe for concurrent use.
+// Store holds the platform's rows that a daemon has received. It is safe for concurrent use.
 type Store struct {
 	mu       sync.Mutex
 	rows     map[string]platform.Row
-	revision uint64 // all rows up to here are held
+	revision uint64 // all rows up to this one are held
 	changed  chan struct{}
-	reached  time.Time // when the platform was last read, here or by a relay
+	reached  time.Time // when the platform was last read, by this daemon or a relay
 	onRows   func([]platform.Row, time.Time)
 }
 
-// NewStore makes an empty store. onRows is called, outside the lock, with each
-// batch of new rows and the instant before its read began; the zero instant when
-// the rows were heard from another VM.
+// NewStore returns an empty store. onRows is called, without the lock held, with each batch of new
+// rows and the time before their read began; the zero time when another VM sent the rows.
 func NewStore(onRows func([]platform.Row, time.Time)) *Store {
 	return &Store{rows: map[string]platform.Row{}, changed: make(chan struct{}), onRows: onRows}
 }
 
-// Apply takes in rows. A row older than the one held is passed over: answers
-// may come late, and what a daemon holds never goes back.
+// Apply stores rows. It skips a row that is older than the stored one: answers may come late, and
+// the revision of a stored row never decreases.
 func (s *Store) Apply(rows []platform.Row, revision uint64, began time.Time) {
 	s.mu.Lock()
-	var news []platform.Row
+	var newer []platform.Row
 	for _, r := range rows {
 		if wanted(r.Key) && s.rows[r.Key].Revision < r.Revision {
 			s.rows[r.Key] = r
-			news = append(news, r)
+			newer = append(newer, r)
 		}
 	}
 	if revision > s.revision {
 		s.revision = revision
 	}
-	if len(news) > 0 {
+	if len(newer) > 0 {
 		close(s.changed)
 		s.changed = make(chan struct{})
 	}
 	s.mu.Unlock()
-	if len(news) > 0 {
-		s.onRows(news, began)
+	if len(newer) > 0 {
+		s.onRows(newer, began)
 	}
 }
 
-// Reached notes that the platform answered at t, here or at a relay.
+// Reached records that the platform answered this daemon or a relay at t.
 func (s *Store) Reached(t time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +62,7 @@
 	}
 }
 
-// PlatformAge returns how long ago the platform last answered.
+// PlatformAge returns how long ago the platform last answered, or an hour if it never has.
 func (s *Store) PlatformAge(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +72,7 @@
 	return now.Sub(s.reached)
 }
 
-// Known reports whether any source has been read, so that what lacks is not there.
+// Known reports whether any source has been read, so that a row that is not held does not exist.
 func (s *Store) Known() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +100,7 @@
 	return rows, s.revision, s.changed
 }
 
-// Rows returns the rows below prefix.
+// Rows returns the rows whose keys begin with prefix.
 func (s *Store) Rows(prefix string) []platform.Row {
 	s.mu.Lock()
 	defer s.mu.Unlock()
