--- a/internal/daemon/configkeeper.go
+++ b/internal/daemon/configkeeper.go
@@ -205,7 +205,7 @@
 func (b blobSource) fromPeers(ctx context.Context, name string) ([]byte, bool) {
 	for _, vm := range b.keeper.view.Relays() {
 		if blob, ok := b.fromPeer(ctx, vm, name); ok {
-			b.keeper.blobs.Keep(name, blob)
+			b.keeper.blobs.CacheBlob(name, blob)
 			return blob, true
 		}
 	}
--- a/internal/daemon/registrar.go
+++ b/internal/daemon/registrar.go
@@ -108,7 +108,7 @@
 		r.log.Debug("event=platform_unreachable", "error", err)
 		return
 	}
-	r.rows.Reached(began)
+	r.rows.NoteReached(began)
 	r.rows.Apply(rows, 0, began)
 }
 
--- a/internal/daemon/spread.go
+++ b/internal/daemon/spread.go
@@ -77,7 +77,7 @@
 func (s *rowSink) takeVMs() {
 	s.list.Lock()
 	defer s.list.Unlock()
-	s.pending = s.store == nil || !s.store.Known()
+	s.pending = s.store == nil || !s.store.Loaded()
 	if s.pending {
 		return
 	}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -66,9 +66,9 @@
 // Target is a database as described by its own registration.
 type Target struct {
 	topology.Target
-	// SaysPrimary is set when the database reports that it is the primary.
-	SaysPrimary bool
-	Slots       int
+	// ReportsPrimary is set when the database reports that it is the primary.
+	ReportsPrimary bool
+	Slots          int
 	// Registration is the key of the database's registration. A database that restarts under the
 	// same key is a different target: nothing agreed with the earlier process holds for it.
 	Registration string
@@ -141,8 +141,8 @@
 // two VMs, the other one's own watches cost no more than the relay's safeguards.
 const minRelayVMs = 3
 
-// Relays reports whether one VM watches the store and reports changes to the others.
-func (d *Directory) Relays() bool {
+// UsesRelay reports whether one VM watches the store and reports changes to the others.
+func (d *Directory) UsesRelay() bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return len(d.vms) >= minRelayVMs
@@ -357,8 +357,8 @@
 	changeDelayVMs = 100
 )
 
-// ChangeRest returns how long a watch pauses after a change.
-func (d *Directory) ChangeRest() time.Duration {
+// ChangeDelay returns how long a watch pauses after a change.
+func (d *Directory) ChangeDelay() time.Duration {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	if len(d.vms) <= fullRateVMs {
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -113,8 +113,8 @@
 	d := New(topology.VM{})
 	for i, want := range []bool{false, false, true, true} {
 		d.SetVM(topology.VM{ID: topology.VMID(rune('a' + i)), Incarnation: 1})
-		if d.Relays() != want {
-			t.Errorf("with %d VMs: %v", i+1, d.Relays())
+		if d.UsesRelay() != want {
+			t.Errorf("with %d VMs: %v", i+1, d.UsesRelay())
 		}
 	}
 }
@@ -127,7 +127,7 @@
 		for i := range vms {
 			d.SetVM(topology.VM{ID: topology.VMID(fmt.Sprint(i))})
 		}
-		return d.ChangeRest()
+		return d.ChangeDelay()
 	}
 	few, some, many, most := delay(7), delay(90), delay(250), delay(4000)
 	if few != 0 || some == 0 || many <= some || most < many || most > 2*time.Second {
--- a/internal/directory/kept.go
+++ b/internal/directory/kept.go
@@ -9,7 +9,7 @@
 	"github.com/buckthornshore/buckthornshore/pkg/metastore"
 )
 
-// Kept holds the rows of a feed as of a version of the store.
+// Kept is a snapshot of a feed: its rows as of a version of the store.
 type Kept struct {
 	Version uint64          `msgpack:"v"`
 	Rows    []metastore.Row `msgpack:"r"`
@@ -31,8 +31,8 @@
 	Fetch(ctx context.Context, f Feed, version uint64) (Kept, bool)
 }
 
-// Keep stores all rows of a feed as of a version, for other VMs to ask for.
-func (r *Relay) Keep(f Feed, rows []metastore.Row, version uint64) {
+// SetSnapshot stores a snapshot of a feed for other VMs to ask for: all its rows as of a version.
+func (r *Relay) SetSnapshot(f Feed, rows []metastore.Row, version uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if version < r.snapshots[f].Version {
@@ -42,8 +42,8 @@
 	r.wake()
 }
 
-// KeepChanges applies the changes of a feed up to a version to the rows stored by Keep.
-func (r *Relay) KeepChanges(f Feed, changes []metastore.Row, version uint64) {
+// UpdateSnapshot applies the changes of a feed up to a version to the snapshot stored by SetSnapshot.
+func (r *Relay) UpdateSnapshot(f Feed, changes []metastore.Row, version uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	k, ok := r.snapshots[f]
@@ -61,9 +61,9 @@
 	r.wake()
 }
 
-// AwaitKept waits until this VM has the rows of a feed as of the version or a later one, and
+// AwaitSnapshot waits until this VM has the rows of a feed as of the version or a later one, and
 // returns them. It returns false if ctx ends first.
-func (r *Relay) AwaitKept(ctx context.Context, f Feed, version uint64) (Kept, bool) {
+func (r *Relay) AwaitSnapshot(ctx context.Context, f Feed, version uint64) (Kept, bool) {
 	const pollPeriod = time.Second // Each change ends the wait early.
 	for {
 		r.mu.Lock()
--- a/internal/directory/neighbours_test.go
+++ b/internal/directory/neighbours_test.go
@@ -24,7 +24,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	return n.relay.AwaitKept(ctx, f, version)
+	return n.relay.AwaitSnapshot(ctx, f, version)
 }
 
 // Guards against a change that each VM reads from the store although a neighbour has it already.
@@ -41,12 +41,12 @@
 	stop()
 	stop = publish(relay, 1)
 	defer stop()
-	relay.Tell(directory.News{directory.Registrations: {Matters: 1, Seen: 1}}, mono.System{}.Now())
+	relay.Receive(directory.News{directory.Registrations: {Relevant: 1, Seen: 1}}, mono.System{}.Now())
 	eventually(t, func() bool { return s.has(1) })
 	if n := store.count(); n != 0 {
 		t.Fatalf("%d calls to the store", n)
 	}
-	if snapshot, ok := relay.AwaitKept(t.Context(), directory.Registrations, 1); !ok || len(snapshot.Rows) != 1 {
+	if snapshot, ok := relay.AwaitSnapshot(t.Context(), directory.Registrations, 1); !ok || len(snapshot.Rows) != 1 {
 		t.Fatalf("keeps %+v for others", snapshot)
 	}
 }
--- a/internal/directory/relay.go
+++ b/internal/directory/relay.go
@@ -21,10 +21,10 @@
 	OwnRows             // of this system itself: groups, VMs, duty
 )
 
-// Told is what a coordinator reports on one feed.
-type Told struct {
-	// Matters is the version of the newest change that is relevant to the VMs.
-	Matters uint64 `msgpack:"m"`
+// FeedNews is what a coordinator reports on one feed.
+type FeedNews struct {
+	// Relevant is the version of the newest change that is relevant to the VMs.
+	Relevant uint64 `msgpack:"m"`
 	// Seen is the version up to which the coordinator has seen all changes.
 	Seen uint64 `msgpack:"s"`
 	// Rows are the relevant changes after the version Since that the receiver lacks, the oldest
@@ -36,13 +36,13 @@
 	Age time.Duration `msgpack:"a,omitempty"`
 	// writtenAfter is a moment before Rows were written, by the clock of the receiving VM; 0 if not known.
 	writtenAfter mono.Time
-	// Large is the lowest version from which a watch is of use: after earlier versions there are
-	// more changes than a watch reads.
-	Large uint64 `msgpack:"l,omitempty"`
+	// WatchableFrom is the lowest version from which a watch is of use: after earlier versions there
+	// are more changes than a watch reads.
+	WatchableFrom uint64 `msgpack:"l,omitempty"`
 }
 
 // News is what a coordinator reports, by feed.
-type News map[Feed]Told
+type News map[Feed]FeedNews
 
 const (
 	// newsValidity is how long news from a coordinator is valid: the time in which another VM
@@ -99,7 +99,7 @@
 	relevant, seen uint64
 	// answeredAt is when this VM's own watch was last answered, and listedAt when its listing was.
 	answeredAt, listedAt mono.Time
-	// watchableFrom is as Large in Told.
+	// watchableFrom is as in FeedNews.
 	watchableFrom uint64
 	// recent are the newest relevant changes, all those after the version since.
 	since  uint64
@@ -150,9 +150,9 @@
 	}
 }
 
-// NoteTold records the same for changes received from another VM. They alone do not make this VM
+// NoteReceived records the same for changes received from another VM. They alone do not make this VM
 // report on the feed, but it knows the changes if it becomes the coordinator.
-func (r *Relay) NoteTold(f Feed, seen uint64, rows []metastore.Row, writtenAfter, now mono.Time) {
+func (r *Relay) NoteReceived(f Feed, seen uint64, rows []metastore.Row, writtenAfter, now mono.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if n := r.feedState[f]; n != nil {
@@ -160,10 +160,10 @@
 	}
 }
 
-// NoteLarge records that a watch of this VM found more changes after the version seen than it
+// NoteTooLarge records that a watch of this VM found more changes after the version seen than it
 // reads. The others are informed before this VM has listed the changes itself: otherwise they would
 // begin their own listings only at the end of this one, which takes a second.
-func (r *Relay) NoteLarge(f Feed, seen uint64, now mono.Time) {
+func (r *Relay) NoteTooLarge(f Feed, seen uint64, now mono.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if n := r.feedState[f]; n != nil {
@@ -214,9 +214,9 @@
 	return followed
 }
 
-// Noted returns what this VM can report to one that has the changes up to the given versions: the
+// NewsFor returns what this VM can report to one that has the changes up to the given versions: the
 // feeds whose watches are answered, and the rows that the other VM lacks.
-func (r *Relay) Noted(now mono.Time, followed Followed) News {
+func (r *Relay) NewsFor(now mono.Time, followed Followed) News {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	news := News{}
@@ -225,7 +225,7 @@
 			continue
 		}
 		n.trim(now)
-		t := Told{Matters: n.relevant, Seen: n.seen, Large: n.watchableFrom}
+		t := FeedNews{Relevant: n.relevant, Seen: n.seen, WatchableFrom: n.watchableFrom}
 		if len(n.recent) > 0 {
 			t.Since = n.since
 		}
@@ -240,9 +240,9 @@
 	return news
 }
 
-// SetTelling sets whether the other VMs rely on this one's news. When they begin to, this VM asks
+// SetPublishing sets whether the other VMs rely on this one's news. When they begin to, this VM asks
 // the store at once, so that it can report: the others watch the store themselves until it does.
-func (r *Relay) SetTelling(publishing bool) {
+func (r *Relay) SetPublishing(publishing bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.publishing == publishing {
@@ -265,17 +265,17 @@
 	return r.started
 }
 
-// Telling reports whether the other VMs rely on this one's news.
-func (r *Relay) Telling() bool {
+// Publishing reports whether the other VMs rely on this one's news.
+func (r *Relay) Publishing() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.publishing
 }
 
-// Expect records that some VM is known to coordinate. Before that, a VM watches the store itself:
-// when VMs start for the first time, no coordinator reports the VMs that register, and the first
-// row needs them as witnesses.
-func (r *Relay) Expect() {
+// NoteCoordinator records that some VM is known to coordinate. Before that, a VM watches the store
+// itself: when VMs start for the first time, no coordinator reports the VMs that register, and the
+// first row needs them as witnesses.
+func (r *Relay) NoteCoordinator() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.coordinatorKnown = true
@@ -286,15 +286,15 @@
 	r.changed = make(chan struct{})
 }
 
-// Tell stores what a coordinator reported in answer to a message that was sent at sent. The
+// Receive stores what a coordinator reported in answer to a message that was sent at sent. The
 // coordinator leaves out feeds that it can't report on. Earlier news of those stays valid for a
 // while: a new coordinator first asks the store, and otherwise all VMs would do the same meanwhile.
-func (r *Relay) Tell(news News, sent mono.Time) {
+func (r *Relay) Receive(news News, sent mono.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	isNew := false
 	for f, t := range news {
-		if was := r.news[f].Matters; t.Matters > was {
+		if was := r.news[f].Relevant; t.Relevant > was {
 			isNew = true
 			r.previous[f] = report{relevant: was, confirmedAt: r.confirmedAt[f]}
 		}
@@ -308,19 +308,19 @@
 	}
 }
 
-// Advice is what a watcher that follows a feed up to a version does next.
-type Advice uint8
+// Action is what a watcher that follows a feed up to a version does next.
+type Action uint8
 
 // The kinds of advice.
 const (
 	// Watch is returned when no VM can report on the feed.
-	Watch Advice = iota
+	Watch Action = iota
 	// Fetch is returned when the store has, or may have, a change.
 	Fetch
 	// List is returned when the store has more changes than a watch reads.
 	List
-	// Take is returned when the news contains the changes.
-	Take
+	// Apply is returned when the news contains the changes.
+	Apply
 )
 
 // currentAt returns the last moment at which, according to the news received, a VM that follows a
@@ -328,7 +328,7 @@
 func (r *Relay) currentAt(f Feed, version uint64) mono.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	last := report{relevant: r.news[f].Matters, confirmedAt: r.confirmedAt[f]}
+	last := report{relevant: r.news[f].Relevant, confirmedAt: r.confirmedAt[f]}
 	if last.relevant > version {
 		last = r.previous[f]
 	}
@@ -340,9 +340,9 @@
 
 // Await returns what to do once there is, or may be, a change of the feed after the version, and
 // at once when no VM can report on the feed. It also returns the latest news of the feed: with
-// Take, that has all relevant changes after the version; otherwise it shows that there is none up
-// to its Seen version if its Matters version is not after the given one.
-func (r *Relay) Await(ctx context.Context, f Feed, after uint64, clock mono.Clock) (Advice, Told) {
+// Apply, that has all relevant changes after the version; otherwise it shows that there is none up
+// to its Seen version if its Relevant version is not after the given one.
+func (r *Relay) Await(ctx context.Context, f Feed, after uint64, clock mono.Clock) (Action, FeedNews) {
 	recheckAt := clock.Now().Add(recheckPeriod)
 	for {
 		r.mu.Lock()
@@ -356,7 +356,7 @@
 		}
 		r.mu.Unlock()
 		now := clock.Now()
-		noNews := news.Matters == 0 || !now.Before(validUntil)
+		noNews := news.Relevant == 0 || !now.Before(validUntil)
 		switch {
 		case ctx.Err() != nil:
 			return Watch, news
@@ -369,11 +369,11 @@
 			continue
 		case noNews:
 			return Watch, news
-		case news.Matters > after && len(news.Rows) > 0 && news.Since <= after:
-			return Take, news
-		case news.Matters > after && news.Large > after:
+		case news.Relevant > after && len(news.Rows) > 0 && news.Since <= after:
+			return Apply, news
+		case news.Relevant > after && news.WatchableFrom > after:
 			return List, news
-		case news.Matters > after || !now.Before(recheckAt):
+		case news.Relevant > after || !now.Before(recheckAt):
 			return Fetch, news
 		}
 		wait.Until(ctx, changed, min(validUntil, recheckAt).Sub(now))
--- a/internal/directory/relay_test.go
+++ b/internal/directory/relay_test.go
@@ -36,7 +36,7 @@
 func publish(relay *directory.Relay, version uint64) (stop func()) {
 	done := make(chan struct{})
 	report := func() {
-		relay.Tell(directory.News{directory.Registrations: {Matters: version, Seen: version}}, mono.System{}.Now())
+		relay.Receive(directory.News{directory.Registrations: {Relevant: version, Seen: version}}, mono.System{}.Now())
 	}
 	report()
 	go func() {
@@ -98,7 +98,7 @@
 	s := startWatcher(t, store, relay)
 	time.Sleep(200 * time.Millisecond)
 	stop()
-	relay.Tell(directory.News{directory.Configurations: {Matters: 1, Seen: 1}}, mono.System{}.Now())
+	relay.Receive(directory.News{directory.Configurations: {Relevant: 1, Seen: 1}}, mono.System{}.Now())
 	eventually(t, func() bool { return store.count() > 0 })
 	put(t, store.Store, "a")
 	eventually(t, func() bool { return s.has(1) })
@@ -115,10 +115,10 @@
 	put(t, store, heartbeat)
 	eventually(t, func() bool { return s.has(2) })
 	now := mono.System{}.Now()
-	if got := relay.Noted(now, nil)[directory.Registrations].Matters; got != 1 {
+	if got := relay.NewsFor(now, nil)[directory.Registrations].Relevant; got != 1 {
 		t.Fatalf("reports version %d", got)
 	}
-	if got := relay.Noted(now.Add(time.Minute), nil); len(got) != 0 {
+	if got := relay.NewsFor(now.Add(time.Minute), nil); len(got) != 0 {
 		t.Fatalf("reports %v although its watch is not answered", got)
 	}
 }
@@ -179,7 +179,7 @@
 	go func() {
 		for ctx.Err() == nil {
 			now := mono.System{}.Now()
-			to.Tell(from.Noted(now, to.Followed()), now)
+			to.Receive(from.NewsFor(now, to.Followed()), now)
 			time.Sleep(100 * time.Millisecond)
 		}
 	}()
@@ -244,7 +244,7 @@
 	eventually(t, func() bool { return s.has(1) })
 	put(t, store, heartbeat)
 	stop()
-	relay.Tell(directory.News{directory.Registrations: {Matters: 1, Seen: 2}}, mono.System{}.Now())
+	relay.Receive(directory.News{directory.Registrations: {Relevant: 1, Seen: 2}}, mono.System{}.Now())
 	store.Store.(*metastore.Memory).ForgetHistory()
 	put(t, store, "b")
 	eventually(t, func() bool { return s.has(2) })
@@ -270,7 +270,7 @@
 	eventually(t, func() bool { return s.has(61) })
 	now := mono.System{}.Now()
 	size := 0
-	for _, row := range coordinator.Noted(now, nil)[directory.Registrations].Rows {
+	for _, row := range coordinator.NewsFor(now, nil)[directory.Registrations].Rows {
 		size += len(row.Key)
 	}
 	if size > 1000 {
@@ -288,7 +288,7 @@
 	s := startWatcher(t, store, relay)
 	eventually(t, func() bool { return s.has(1) })
 	stop()
-	relay.Tell(directory.News{directory.Configurations: {Matters: 1, Seen: 1}}, mono.System{}.Now())
+	relay.Receive(directory.News{directory.Configurations: {Relevant: 1, Seen: 1}}, mono.System{}.Now())
 	time.Sleep(300 * time.Millisecond)
 	if n := store.count(); n != 0 {
 		t.Fatalf("%d calls since one answer left the feed out", n)
@@ -345,9 +345,9 @@
 	defer stop()
 	s := startWatcher(t, store, relay)
 	eventually(t, func() bool { return s.has(1) })
-	relay.SetTelling(true)
+	relay.SetPublishing(true)
 	eventually(t, func() bool { return store.count() > 0 })
-	if news, ok := relay.Noted(mono.System{}.Now(), nil)[directory.Registrations]; !ok || news.Seen == 0 {
+	if news, ok := relay.NewsFor(mono.System{}.Now(), nil)[directory.Registrations]; !ok || news.Seen == 0 {
 		t.Fatalf("%+v", news)
 	}
 }
@@ -360,7 +360,7 @@
 		store := &countingStore{Store: metastore.NewMemory()}
 		relay := directory.New(self).Relay()
 		if expected {
-			relay.Expect()
+			relay.NoteCoordinator()
 		}
 		put(t, store.Store, "a")
 		s := startWatcher(t, store, relay)
--- a/internal/directory/timing_test.go
+++ b/internal/directory/timing_test.go
@@ -85,14 +85,14 @@
 	clock := mono.System{}
 	began := clock.Now()
 	coordinator.NoteListing(directory.Registrations, 1, true, began)
-	relay.Tell(coordinator.Noted(began, nil), began)
+	relay.Receive(coordinator.NewsFor(began, nil), began)
 	s := startTimedWatcher(t, store, relay)
 	eventually(t, func() bool { return s.has(1) })
 	after := clock.Now()
 	coordinator.NoteChanges(directory.Registrations, 2, []metastore.Row{{Key: "second", Version: 2}}, after, clock.Now())
 	time.Sleep(400 * time.Millisecond)
 	sent := clock.Now()
-	relay.Tell(coordinator.Noted(clock.Now(), directory.Followed{directory.Registrations: 1}), sent)
+	relay.Receive(coordinator.NewsFor(clock.Now(), directory.Followed{directory.Registrations: 1}), sent)
 	s.expect(t, "second", after, 50*time.Millisecond)
 }
 
@@ -103,8 +103,8 @@
 	stop()
 	written := mono.System{}.Now()
 	time.Sleep(200 * time.Millisecond)
-	relay.Tell(directory.News{directory.Registrations: {
-		Matters: 2, Seen: 2, Since: 1, Rows: []metastore.Row{{Key: "second", Version: 2}},
+	relay.Receive(directory.News{directory.Registrations: {
+		Relevant: 2, Seen: 2, Since: 1, Rows: []metastore.Row{{Key: "second", Version: 2}},
 	}}, mono.System{}.Now())
 	s.expect(t, "second", written, 3*time.Second)
 }
--- a/internal/directory/vms.go
+++ b/internal/directory/vms.go
@@ -46,8 +46,8 @@
 	return true
 }
 
-// NoteStart records the incarnation as which a VM runs: its registration may be of an earlier one.
-func (d *Directory) NoteStart(id topology.VMID, incarnation topology.Incarnation) {
+// NoteIncarnation records the incarnation as which a VM runs: its registration may be of an earlier one.
+func (d *Directory) NoteIncarnation(id topology.VMID, incarnation topology.Incarnation) {
 	d.mu.RLock()
 	vm, ok := d.vms[id]
 	d.mu.RUnlock()
--- a/internal/directory/watcher.go
+++ b/internal/directory/watcher.go
@@ -35,10 +35,10 @@
 	Log   *slog.Logger
 	// Wait returns the wait of the next watch, or 0 for the usual one; nil stands for the usual one.
 	Wait func() time.Duration
-	// Rest returns how long to pause after a change before the next watch; nil means no pause. Where
-	// many rows change together, as the registrations at a start, the next watch then returns them
-	// all, in place of one call for each.
-	Rest func() time.Duration
+	// ChangeDelay returns how long to pause after a change before the next watch; nil means no pause.
+	// Where many rows change together, as the registrations at a start, the next watch then returns
+	// them all, in place of one call for each.
+	ChangeDelay func() time.Duration
 	// Feed identifies the table in Relay, from which the watcher receives news of changes. If Relay
 	// is nil, it always watches the store.
 	Feed  Feed
@@ -61,8 +61,8 @@
 type Timing struct {
 	// Began is when the call that returned the rows was sent.
 	Began mono.Time
-	// After is the last moment at which the watcher's rows were up to date; 0 if it had none.
-	After mono.Time
+	// WrittenAfter is the last moment at which the watcher's rows were up to date; 0 if it had none.
+	WrittenAfter mono.Time
 }
 
 // progress is how far a watcher has followed its table.
@@ -107,7 +107,7 @@
 		return false
 	}
 	if tooLarge && w.Relay != nil {
-		w.Relay.NoteLarge(w.Feed, p.version, w.Clock.Now())
+		w.Relay.NoteTooLarge(w.Feed, p.version, w.Clock.Now())
 	}
 	w.Log.Info("event=store_history_gone", "table", w.Table, "version", p.version, "error", err, "outcome", "listed_again")
 	return true
@@ -121,11 +121,11 @@
 		return err
 	}
 	w.noteSuccess(p)
-	isNew := w.All(rows.Rows, Timing{Began: began, After: p.upToDateAt})
+	isNew := w.All(rows.Rows, Timing{Began: began, WrittenAfter: p.upToDateAt})
 	w.notifyAnswer(began)
 	p.version, p.upToDateAt = rows.Version, max(p.upToDateAt, began)
 	if w.Neighbours != nil {
-		w.Relay.Keep(w.Feed, rows.Rows, p.version)
+		w.Relay.SetSnapshot(w.Feed, rows.Rows, p.version)
 	}
 	if w.Relay != nil {
 		w.Relay.NoteListing(w.Feed, p.version, isNew, w.Clock.Now())
@@ -139,21 +139,21 @@
 	wait := w.wait()
 	if w.Relay != nil {
 		action, reported := w.Relay.Await(ctx, w.Feed, p.version, w.Clock)
-		p.reported = reported.Matters
+		p.reported = reported.Relevant
 		p.upToDateAt = max(p.upToDateAt, w.Relay.currentAt(w.Feed, p.version))
 		switch {
-		case action == Take:
+		case action == Apply:
 			w.applyNews(p, reported)
 			return nil
 		case action == Fetch && w.fetchFromNeighbours(ctx, p, reported): // Not for List: a neighbour refuses what would fill its link.
 			return nil
 		case action == List:
 			return w.list(ctx, p)
-		case reported.Matters <= p.version:
+		case reported.Relevant <= p.version:
 			// No change up to there is relevant; the store may have dropped the older history.
 			p.version = max(p.version, reported.Seen)
 		}
-		if action == Fetch || p.failures > 0 && w.Relay.Telling() {
+		if action == Fetch || p.failures > 0 && w.Relay.Publishing() {
 			wait = fetchWait // The other VMs have to learn soon that the store is back.
 		}
 	}
@@ -169,18 +169,18 @@
 		return err
 	}
 	w.noteSuccess(p)
-	at := Timing{Began: began, After: p.upToDateAt}
+	at := Timing{Began: began, WrittenAfter: p.upToDateAt}
 	relevant := w.applyRows(changes.Rows, at)
 	w.notifyAnswer(began)
 	p.version, p.upToDateAt = max(p.version, changes.Version), max(p.upToDateAt, w.completeAt(changes, began, wait))
 	if w.Neighbours != nil {
-		w.Relay.KeepChanges(w.Feed, changes.Rows, p.version)
+		w.Relay.UpdateSnapshot(w.Feed, changes.Rows, p.version)
 	}
 	if w.Relay != nil {
-		w.Relay.NoteChanges(w.Feed, p.version, relevant, at.After, w.Clock.Now())
+		w.Relay.NoteChanges(w.Feed, p.version, relevant, at.WrittenAfter, w.Clock.Now())
 	}
-	if w.Rest != nil && len(changes.Rows) > 0 {
-		pause.For(ctx, w.Rest())
+	if w.ChangeDelay != nil && len(changes.Rows) > 0 {
+		pause.For(ctx, w.ChangeDelay())
 	}
 	return nil
 }
@@ -198,7 +198,7 @@
 // one: a coordinator whose earlier watch is still waiting has no answer of the store, and would be
 // replaced for that.
 func (w *Watcher) untilPublishing(ctx context.Context) (context.Context, func()) {
-	if w.Relay == nil || w.Relay.Telling() {
+	if w.Relay == nil || w.Relay.Publishing() {
 		return ctx, func() {}
 	}
 	callCtx, cancel := context.WithCancel(ctx)
@@ -226,27 +226,27 @@
 
 // fetchFromNeighbours applies the changes up to the reported one if another VM has them, and
 // reports whether one did.
-func (w *Watcher) fetchFromNeighbours(ctx context.Context, p *progress, news Told) bool {
-	if w.Neighbours == nil || news.Matters <= p.version || w.Relay.Telling() {
+func (w *Watcher) fetchFromNeighbours(ctx context.Context, p *progress, news FeedNews) bool {
+	if w.Neighbours == nil || news.Relevant <= p.version || w.Relay.Publishing() {
 		return false
 	}
-	snapshot, ok := w.Neighbours.Fetch(ctx, w.Feed, news.Matters)
+	snapshot, ok := w.Neighbours.Fetch(ctx, w.Feed, news.Relevant)
 	if !ok {
 		return false
 	}
 	now := w.Clock.Now()
 	later := slices.DeleteFunc(slices.Clone(snapshot.Rows), func(r metastore.Row) bool { return r.Version <= p.version })
-	at := Timing{Began: now, After: p.upToDateAt}
+	at := Timing{Began: now, WrittenAfter: p.upToDateAt}
 	w.applyRows(later, at)
 	p.version = max(p.version, snapshot.Version)
-	w.Relay.Keep(w.Feed, snapshot.Rows, snapshot.Version)
-	w.Relay.NoteTold(w.Feed, p.version, later, at.After, now)
+	w.Relay.SetSnapshot(w.Feed, snapshot.Rows, snapshot.Version)
+	w.Relay.NoteReceived(w.Feed, p.version, later, at.WrittenAfter, now)
 	w.Log.Info("event=store_changes_received", "table", w.Table, "rows", len(later), "version", p.version, "from", "neighbour")
 	return true
 }
 
 // applyNews applies changes that a coordinator sent as rows.
-func (w *Watcher) applyNews(p *progress, news Told) {
+func (w *Watcher) applyNews(p *progress, news FeedNews) {
 	var later []metastore.Row
 	for _, row := range news.Rows {
 		if row.Version > p.version {
@@ -254,13 +254,13 @@
 		}
 	}
 	now := w.Clock.Now()
-	at := Timing{Began: now, After: max(p.upToDateAt, news.writtenAfter)}
+	at := Timing{Began: now, WrittenAfter: max(p.upToDateAt, news.writtenAfter)}
 	w.applyRows(later, at)
 	p.version = max(p.version, news.Seen)
 	if w.Neighbours != nil {
-		w.Relay.KeepChanges(w.Feed, later, p.version)
+		w.Relay.UpdateSnapshot(w.Feed, later, p.version)
 	}
-	w.Relay.NoteTold(w.Feed, p.version, later, at.After, now)
+	w.Relay.NoteReceived(w.Feed, p.version, later, at.WrittenAfter, now)
 	w.Log.Info("event=store_changes_received", "table", w.Table, "rows", len(later), "version", p.version)
 }
 
@@ -277,7 +277,7 @@
 	}
 	w.logFailure(p, err)
 	delay := min(maxRetryDelay, retryDelay<<min(p.failures-2, 8))
-	if w.Relay != nil && w.Relay.Telling() {
+	if w.Relay != nil && w.Relay.Publishing() {
 		delay = retryDelay // With longer delays, all VMs that rely on this one would take its place when the store returns.
 	}
 	pause.For(ctx, delay/2+rand.N(delay))
--- a/internal/directory/watcher_test.go
+++ b/internal/directory/watcher_test.go
@@ -51,7 +51,7 @@
 	defer s.mu.Unlock()
 	s.keys[r.Key] = !r.Deleted
 	if s.writtenAfter != nil {
-		s.writtenAfter[r.Key], s.at[r.Key] = at.After, mono.System{}.Now()
+		s.writtenAfter[r.Key], s.at[r.Key] = at.WrittenAfter, mono.System{}.Now()
 	}
 	return r.Key != heartbeat
 }
@@ -94,7 +94,7 @@
 	t.Cleanup(cancel)
 	w := &directory.Watcher{
 		Store: store, Table: "t", Clock: mono.System{}, Log: slog.New(slog.DiscardHandler), All: s.onListing, Change: s.onChange,
-		Rest: func() time.Duration { return delay },
+		ChangeDelay: func() time.Duration { return delay },
 	}
 	go w.Run(ctx)
 	return s
@@ -246,7 +246,7 @@
 	}
 	go w.Run(ctx)
 	eventually(t, func() bool { return store.count() == 1 })
-	relay.SetTelling(true)
+	relay.SetPublishing(true)
 	eventually(t, func() bool { return store.count() == 2 })
 	if got := s.listings(); got != 1 {
 		t.Fatalf("%d listings", got)
--- a/internal/forward/rows.go
+++ b/internal/forward/rows.go
@@ -80,7 +80,7 @@
 func (s *Server) tellRows(nc net.Conn, peer *stream, r rowsRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), rowsHope)
 	defer cancel()
-	kept, ok := s.Directory.Relay().AwaitKept(ctx, r.Feed, r.Version)
+	kept, ok := s.Directory.Relay().AwaitSnapshot(ctx, r.Feed, r.Version)
 	a := rowsAnswer{Kept: kept}
 	switch {
 	case !ok:
--- a/internal/gatewayd/watch.go
+++ b/internal/gatewayd/watch.go
@@ -40,8 +40,8 @@
 		Store: p.Store, Table: platform.OperatorTable, Clock: p.Clock, Log: p.Log, Change: take,
 		Wait: func() time.Duration { return p.watchWait(longestConfigurationWatch) },
 		Feed: directory.Configurations, Relay: p.Directory.Relay(),
-		Neighbours: forward.Neighbours{Directory: p.Directory},
-		Rest:       func() time.Duration { return min(p.Lead.WatchRest(), longestConfigurationRest) },
+		Neighbours:  forward.Neighbours{Directory: p.Directory},
+		ChangeDelay: func() time.Duration { return min(p.Lead.WatchRest(), longestConfigurationRest) },
 		All: func(rows []metastore.Row, at directory.Timing) bool {
 			news := false
 			for _, r := range rows {
@@ -82,7 +82,7 @@
 		Store: p.Store, Table: platform.TargetTable, Clock: p.Clock, Log: p.Log,
 		Wait: func() time.Duration { return p.watchWait(longestTargetWatch) },
 		Feed: directory.Registrations, Relay: p.Directory.Relay(),
-		Rest: p.Lead.WatchRest,
+		ChangeDelay: p.Lead.WatchRest,
 		All: func(rows []metastore.Row, at directory.Timing) bool {
 			news := false
 			listed := map[string]bool{}
@@ -119,16 +119,16 @@
 		return p.Malformed.note(p.Log, r.Key, err) || len(gone) > 0 // The other VMs look for themselves.
 	}
 	p.Malformed.forget(r.Key)
-	t.LeavingSince = at.After
+	t.LeavingSince = at.WrittenAfter
 	known, ok := p.Directory.Target(t.ID)
 	changed := p.Directory.SetTarget(t)
 	if changed {
 		p.Log.Info("event=target_registered", "target", t.ID, "group", t.Group, "address", t.Address, "data_centre", t.DataCentre,
-			"leaving", t.Leaving, "says_primary", t.SaysPrimary, "superseded", t.Superseded, "row_version", r.Version)
+			"leaving", t.Leaving, "says_primary", t.ReportsPrimary, "superseded", t.Superseded, "row_version", r.Version)
 	}
 	// Which one says that it leads concerns the VM alone that writes a group's first row, and that one
 	// watches the store itself.
-	known.SaysPrimary, known.LeavingSince = t.SaysPrimary, t.LeavingSince
+	known.ReportsPrimary, known.LeavingSince = t.ReportsPrimary, t.LeavingSince
 	return changed && (!ok || known != t)
 }
 
--- a/internal/lead/cluster_test.go
+++ b/internal/lead/cluster_test.go
@@ -341,7 +341,7 @@
 	}
 	d := directory.New(self)
 	for _, t := range []topology.TargetID{"a", "b", "c"} {
-		d.SetTarget(directory.Target{Target: topology.Target{ID: t, Group: group}, SaysPrimary: t == "a"})
+		d.SetTarget(directory.Target{Target: topology.Target{ID: t, Group: group}, ReportsPrimary: t == "a"})
 	}
 	transport, err := lead.Listen(self.PeerAddress, log)
 	if err != nil {
--- a/internal/lead/digest_test.go
+++ b/internal/lead/digest_test.go
@@ -35,7 +35,7 @@
 	made := func(id topology.VMID) *Lead {
 		d := directory.New(topology.VM{ID: id, Incarnation: 1})
 		for i := range groups {
-			d.SetTarget(directory.Target{Target: topology.Target{ID: targetNumber(i), Group: groupNumber(i)}, SaysPrimary: true})
+			d.SetTarget(directory.Target{Target: topology.Target{ID: targetNumber(i), Group: groupNumber(i)}, ReportsPrimary: true})
 		}
 		l := New(Options{Directory: d, Clock: clock, Health: finding{clock: clock, failing: targetNumber(1)}})
 		l.connected = clock.Now().Add(-time.Minute)
--- a/internal/lead/firstrow.go
+++ b/internal/lead/firstrow.go
@@ -141,7 +141,7 @@
 
 func (l *Lead) selfStyledPrimary(group topology.GroupID) (topology.Target, bool) {
 	for _, t := range l.Directory.TargetsOf(group) {
-		if t.SaysPrimary {
+		if t.ReportsPrimary {
 			return t.Target, true
 		}
 	}
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -215,7 +215,7 @@
 	watcher := &directory.Watcher{
 		Store: l.Store, Table: Table, Clock: l.Clock, Log: l.Log,
 		All: l.takeAll, Change: l.takeChange, Seen: l.storeAnswered, Wait: l.watchWait,
-		Rest: l.WatchRest, Feed: directory.OwnRows, Relay: l.Directory.Relay(),
+		ChangeDelay: l.WatchRest, Feed: directory.OwnRows, Relay: l.Directory.Relay(),
 	}
 	go watcher.Run(ctx)
 	go l.Transport.Serve(ctx, l.handle)
@@ -247,7 +247,7 @@
 // readings are what its promises rest on while it hears too few witnesses, and what it
 // learns of targets it tells the others.
 func (l *Lead) WatchRest() time.Duration {
-	rest := l.Directory.ChangeRest()
+	rest := l.Directory.ChangeDelay()
 	if l.Coordinates() {
 		return min(rest, coordinatorRest)
 	}
--- a/internal/lead/promise.go
+++ b/internal/lead/promise.go
@@ -32,8 +32,8 @@
 	}
 	answer.Starved = l.allStarved(m.Starved, now)
 	l.allocate(m, answer, now)
-	if l.Directory.Relays() && len(l.coordinator.Groups()) > 0 {
-		answer.News = l.Directory.Relay().Noted(now, m.Followed)
+	if l.Directory.UsesRelay() && len(l.coordinator.Groups()) > 0 {
+		answer.News = l.Directory.Relay().NewsFor(now, m.Followed)
 	}
 	l.mu.Unlock()
 	l.reply(from, m.From, answer)
--- a/internal/lead/register_test.go
+++ b/internal/lead/register_test.go
@@ -67,7 +67,7 @@
 	d := directory.New(topology.VM{ID: "self"})
 	registered := topology.VM{ID: "vm-1", Incarnation: 3}
 	d.SetVMs([]topology.VM{registered})
-	d.NoteStart("vm-1", 7)
+	d.NoteIncarnation("vm-1", 7)
 	d.SetVMs([]topology.VM{registered})
 	if vm, _ := d.VM("vm-1"); vm.Incarnation != 7 {
 		t.Fatalf("start %d", vm.Incarnation)
@@ -75,7 +75,7 @@
 	if vms := d.VMs(); vms[0].Incarnation != 7 {
 		t.Fatalf("listed with start %d", vms[0].Incarnation)
 	}
-	d.NoteStart("vm-1", 5)
+	d.NoteIncarnation("vm-1", 5)
 	if vm, _ := d.VM("vm-1"); vm.Incarnation != 7 {
 		t.Fatalf("a late message set it back to %d", vm.Incarnation)
 	}
--- a/internal/lead/renew.go
+++ b/internal/lead/renew.go
@@ -19,7 +19,7 @@
 	l.renew(now)
 	l.noteCutOff(now)
 	read := l.needsReading(now)
-	l.Directory.Relay().SetTelling(len(l.coordinator.Groups()) > 0)
+	l.Directory.Relay().SetPublishing(len(l.coordinator.Groups()) > 0)
 	l.mu.Unlock()
 	if read {
 		go l.read(ctx)
@@ -144,7 +144,7 @@
 
 // handle takes a message of another VM.
 func (l *Lead) handle(from string, m *message) {
-	l.Directory.NoteStart(m.From, m.Incarnation)
+	l.Directory.NoteIncarnation(m.From, m.Incarnation)
 	switch m.Kind {
 	case renewal:
 		l.handleRenewal(from, m)
@@ -264,8 +264,8 @@
 	if len(m.News) == 0 || m.From == l.self.ID || len(l.coordinator.Groups()) > 0 {
 		return
 	}
-	l.Directory.Relay().Tell(m.News, sent)
-	if m.News[directory.OwnRows].Matters != 0 {
+	l.Directory.Relay().Receive(m.News, sent)
+	if m.News[directory.OwnRows].Relevant != 0 {
 		l.storeHeard = sent
 	}
 }
--- a/internal/lead/restart_test.go
+++ b/internal/lead/restart_test.go
@@ -17,7 +17,7 @@
 	c.databases.mu.Unlock()
 	for _, v := range c.vms {
 		old, _ := v.directory.Target(was)
-		old.ID, old.Started, old.SaysPrimary = is, old.Started+1, primary
+		old.ID, old.Started, old.ReportsPrimary = is, old.Started+1, primary
 		v.directory.SetTarget(old)
 	}
 }
--- a/internal/lead/rows.go
+++ b/internal/lead/rows.go
@@ -128,7 +128,7 @@
 		return
 	}
 	l.adopted = l.Clock.Now()
-	l.Directory.Relay().Expect()
+	l.Directory.Relay().NoteCoordinator()
 	if former == nil || former.Coordinator != row.Coordinator {
 		// It is listened for from now on: judged by when it last coordinated, it
 		// would be taken for silent at once, by all VMs.
--- a/internal/relay/follower.go
+++ b/internal/relay/follower.go
@@ -105,7 +105,7 @@
 		f.Log.Debug("event=platform_unreachable", "error", err)
 		return false
 	}
-	f.Store.Reached(began)
+	f.Store.NoteReached(began)
 	f.Store.Apply(rows, revision, began)
 	return true
 }
@@ -137,7 +137,7 @@
 		return false
 	}
 	f.sourceAge = time.Duration(resp.PlatformAgeMs) * time.Millisecond
-	f.Store.Reached(time.Now().Add(-f.sourceAge))
+	f.Store.NoteReached(time.Now().Add(-f.sourceAge))
 	f.Store.Apply(RowsFrom(resp.Rows), resp.Revision, time.Time{})
 	return true
 }
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -82,13 +82,13 @@
 	}
 	blob, found, err := s.objects.Get(ctx, name)
 	if err == nil && found {
-		s.Keep(name, blob)
+		s.CacheBlob(name, blob)
 	}
 	return blob, found, err
 }
 
-// Keep caches a blob for the peers that ask for it.
-func (s *Server) Keep(name string, blob []byte) {
+// CacheBlob caches a blob for the peers that ask for it.
+func (s *Server) CacheBlob(name string, blob []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.blobs) >= maxBlobs {
--- a/internal/relay/store.go
+++ b/internal/relay/store.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// Reached records that the platform answered this daemon or a relay at t.
-func (s *Store) Reached(t time.Time) {
+// NoteReached records that the platform answered this daemon or a relay at t.
+func (s *Store) NoteReached(t time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if t.After(s.reached) {
@@ -72,8 +72,8 @@
 	return now.Sub(s.reached)
 }
 
-// Known reports whether any source has been read, so that a row that is not held does not exist.
-func (s *Store) Known() bool {
+// Loaded reports whether any source has been read, so that a row that is not held does not exist.
+func (s *Store) Loaded() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.reached.IsZero()
