--- a/internal/forward/rows.go
+++ b/internal/forward/rows.go
@@ -80,7 +80,7 @@
 func (s *Server) sendRows(nc net.Conn, peer *stream, r rowsRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), rowsHoldTimeout)
 	defer cancel()
-	kept, ok := s.Directory.Relay().AwaitKept(ctx, r.Feed, r.Version)
+	kept, ok := s.Directory.Relay().AwaitSnapshot(ctx, r.Feed, r.Version)
 	a := rowsResponse{Kept: kept}
 	switch {
 	case !ok:
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -225,7 +225,7 @@
 	watcher := &directory.Watcher{
 		Store: l.Store, Table: Table, Clock: l.Clock, Log: l.Log,
 		All: l.applyListing, Change: l.applyChange, Seen: l.storeAnswered, Wait: l.watchWait,
-		Rest: l.WatchRest, Feed: directory.OwnRows, Relay: l.Directory.Relay(),
+		ChangeDelay: l.WatchRest, Feed: directory.OwnRows, Relay: l.Directory.Relay(),
 	}
 	go watcher.Run(ctx)
 	go l.Transport.Serve(ctx, l.handle)
@@ -257,7 +257,7 @@
 // as too few witnesses answer it, its promises rely on its own reads, and it relays the changes of
 // targets to the other VMs.
 func (l *Lead) WatchRest() time.Duration {
-	pause := l.Directory.ChangeRest()
+	pause := l.Directory.ChangeDelay()
 	if l.Coordinates() {
 		return min(pause, coordinatorWatchPause)
 	}
--- a/internal/lead/rows.go
+++ b/internal/lead/rows.go
@@ -129,7 +129,7 @@
 		return
 	}
 	l.lastAdopted = l.Clock.Now()
-	l.Directory.Relay().Expect()
+	l.Directory.Relay().NoteCoordinator()
 	if former == nil || former.Coordinator != row.Coordinator {
 		// The coordinator is expected to send messages from now on. Judged by when it last
 		// coordinated, it would at once count as silent at all VMs.
