--- a/internal/gateway/configuration_test.go
+++ b/internal/gateway/configuration_test.go
@@ -15,8 +15,8 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// openUnconfigured opens a session at a server that has no configuration yet, and returns what
-// it is told.
+// openUnconfigured opens a session at a server that has no configuration yet, and returns the
+// server's first line.
 func openUnconfigured(t *testing.T, d *directory.Directory) <-chan string {
 	t.Helper()
 	server := gateway.NewServer(gateway.Options{
@@ -40,30 +40,30 @@
 	if _, err := conn.Write([]byte("newest\n")); err != nil {
 		t.Fatal(err)
 	}
-	told := make(chan string, 1)
+	reply := make(chan string, 1)
 	go func() {
-		line, _ := bufio.NewReader(conn).ReadString('\n') // What has come until the end.
-		told <- strings.TrimSpace(line)
+		line, _ := bufio.NewReader(conn).ReadString('\n') // At the end of the stream, what has been received.
+		reply <- strings.TrimSpace(line)
 	}()
-	return told
+	return reply
 }
 
-// A VM has just started, and a caller reaches it before the store has told the configuration. The
-// caller waits that moment; it used to hear that its database does not exist.
-func TestASessionWaitsForTheFirstConfiguration(t *testing.T) {
+// A caller reaches a VM that has just started, before the VM has read the configuration from the store.
+// The caller must wait for it. Without the wait it was refused as if its database did not exist.
+func TestSessionWaitsForFirstConfiguration(t *testing.T) {
 	d := directory.New(topology.VM{ID: "vm"})
-	told := openUnconfigured(t, d)
+	reply := openUnconfigured(t, d)
 	time.Sleep(100 * time.Millisecond)
 	d.SetConfiguration(&directory.Configuration{Version: 1, Classes: map[string]directory.Class{"newest": {Database: "newest", Group: group}}})
-	if got := <-told; got != "welcome" {
-		t.Fatalf("told %q", got)
+	if got := <-reply; got != "welcome" {
+		t.Fatalf("got %q", got)
 	}
 }
 
-// The store is out as a VM starts. Its callers are refused in time to try another VM, truly: it is
-// not known here which databases there are.
-func TestASessionIsRefusedWithoutAConfiguration(t *testing.T) {
+// The store is down when a VM starts. Its callers must be refused early enough to try another VM, and
+// not with UnknownService: the VM does not know which databases exist.
+func TestSessionIsRefusedWithoutConfiguration(t *testing.T) {
 	if got := <-openUnconfigured(t, directory.New(topology.VM{ID: "vm"})); got != "refused Overloaded" {
-		t.Fatalf("told %q", got)
+		t.Fatalf("got %q", got)
 	}
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -11,12 +11,12 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-func TestStatementsGoWhereTheirClassSays(t *testing.T) {
+func TestStatementsAreRoutedByClass(t *testing.T) {
 	f := start(t)
 	f.open("newest").expect("read a", "I ok d")
 	f.open("newest").expect("write a 1", "I ok d")
 	f.databases[replica].mu.Lock()
-	f.databases[replica].position.Index++ // It has received the write.
+	f.databases[replica].position.Index++ // The replica has received the write.
 	f.databases[replica].mu.Unlock()
 	f.open("bounded").expect("read b", "I ok d")
 	if got := f.databases[primary].statements(); got != "read a, write a 1" {
@@ -27,9 +27,9 @@
 	}
 }
 
-// A session writes and reads at once, while the replica has not received the write.
-// The replica refuses by the position, and the read is served by the primary.
-func TestASessionSeesItsOwnWriteThoughTheReplicaLags(t *testing.T) {
+// A session writes, and reads before the replica has received the write. The replica
+// refuses the read because of its position, and the primary serves it.
+func TestSessionReadsItsOwnWriteWhileReplicaLags(t *testing.T) {
 	f := start(t)
 	c := f.open("own")
 	c.expect("write a 1", "I ok d")
@@ -39,10 +39,10 @@
 	}
 }
 
-// The right ends while a write is under way, as when the VM was paused: another primary
-// may lead by now, so the caller must not be told that the write stands, nor that it
-// has not run.
-func TestAWriteWhoseRightEndsIsInDoubt(t *testing.T) {
+// The right ends while a write is under way, for example because the VM was paused. There
+// may be another primary by now, so the write must be answered neither as a success nor as
+// not run.
+func TestWriteWhoseRightEndsHasUnknownOutcome(t *testing.T) {
 	f := start(t)
 	f.databases[primary].before = func(string) (*result.Error, error) {
 		f.rights.set(false)
@@ -51,9 +51,9 @@
 	f.open("newest").expect("write a 1", "I OutcomeUnknown unknown")
 }
 
-// Nobody has the right for a while, as in a failover: the write waits for it, and is
-// refused as not run when it does not come within the statement's time.
-func TestAWriteWaitsForTheRight(t *testing.T) {
+// No VM has the right for a while, as in a failover. A write waits for the right, and is
+// refused as not run if there is none within the statement's timeout.
+func TestWriteWaitsForRight(t *testing.T) {
 	f := start(t)
 	f.rights.set(false)
 	c := f.open("newest")
@@ -66,9 +66,9 @@
 	}
 }
 
-// The connection breaks after a write was sent. Whether it ran is not known, so it is
-// neither sent again nor refused as not run.
-func TestALostAnswerOfAWrite(t *testing.T) {
+// The connection breakAt after a write was sent. It is unknown whether the write ran, so it
+// must neither be sent again nor be refused as not run.
+func TestWriteWithLostAnswerHasUnknownOutcome(t *testing.T) {
 	f := start(t)
 	sent := 0
 	f.databases[primary].before = func(string) (*result.Error, error) {
@@ -81,13 +81,13 @@
 	}
 }
 
-// The connection breaks in mid-transaction: it is rolled back, and the caller may be
-// told that nothing is kept. After its commit was sent that is not known.
-func TestALostConnectionInATransaction(t *testing.T) {
+// The connection breakAt during a transaction. The database rolls it back, so the answer is
+// that nothing has run. After the commit was sent the outcome is unknown.
+func TestLostConnectionAbortsTransaction(t *testing.T) {
 	f := start(t)
-	breaks := "write a 1"
+	breakAt := "write a 1"
 	f.databases[primary].before = func(text string) (*result.Error, error) {
-		if text == breaks {
+		if text == breakAt {
 			return nil, errors.New("reset")
 		}
 		return nil, nil
@@ -97,15 +97,15 @@
 	c.expect("write a 1", "E TransactionAborted not run")
 	c.expect("read a", "E TransactionFailed not run")
 	c.expect("rollback", "I ok")
-	breaks = "commit"
+	breakAt = "commit"
 	c.expect("begin", "T ok")
 	c.expect("write a 2", "T ok d")
 	c.expect("commit", "I OutcomeUnknown unknown")
 }
 
-// A target refuses for its load, before the run, and takes the statement the next time:
-// the caller notices nothing.
-func TestABusyTargetIsTriedAgain(t *testing.T) {
+// A target refuses a statement because of its load, before it runs, and accepts it later.
+// The caller must get a success.
+func TestBusyTargetIsRetried(t *testing.T) {
 	f := start(t)
 	refusals := 2
 	f.databases[primary].before = func(string) (*result.Error, error) {
@@ -118,26 +118,26 @@
 	f.open("newest").expect("write a 1", "I ok d")
 }
 
-// The daemon leaves. A session that was opened but has sent nothing may send its first
-// request at any moment until it is closed; a process that ends with the request under
-// way would cut it off. So sessions are closed well before the process ends, and what
-// was taken until then is answered.
-func TestLeavingAnswersWhatItTook(t *testing.T) {
+// The daemon leaves. A session that has sent nothing yet may send its first request at any
+// moment until it is closed, and the end of the process would cut that request off. So
+// sessions are closed well before the process ends, and requests accepted until then are
+// answered.
+func TestLeavingAnswersAcceptedRequests(t *testing.T) {
 	f := start(t)
 	f.databases[primary].before = func(string) (*result.Error, error) {
 		time.Sleep(statementTimeout / 2)
 		return nil, nil
 	}
-	rests, asks := f.open("newest"), f.open("newest")
+	idle, active := f.open("newest"), f.open("newest")
 	now := time.Now()
 	plan := gateway.LeavePlan{Idle: now.Add(20 * time.Millisecond), Transactions: now.Add(50 * time.Millisecond), All: now.Add(100 * time.Millisecond)}
 	f.server.Leave(plan)
 	time.Sleep(time.Until(plan.All.Add(-10 * time.Millisecond)))
-	asks.expect("write a 1", "I ok d")
-	if got := rests.hear(); got != "closed" {
-		t.Fatalf("a session that rests: %q", got)
+	active.expect("write a 1", "I ok d")
+	if got := idle.readLine(); got != "closed" {
+		t.Fatalf("an idle session: %q", got)
 	}
-	if got := asks.hear(); got != "closed" {
+	if got := active.readLine(); got != "closed" {
 		t.Fatalf("after its answer: %q", got)
 	}
 	if got := f.opening("newest"); !strings.HasPrefix(got, "refused Leaving") {
@@ -145,27 +145,27 @@
 	}
 }
 
-// The VM is cut off, and no new sessions come to it. A caller whose session is open would
-// have each request refused for as long as the cut lasts: its session is closed between two
-// requests, so that it opens another one elsewhere. One that came just now may ask once, and
-// after the cut sessions stay.
+// The VM is cut off, and the balancer sends it no new sessions. Each request of an open session
+// would be refused for as long as the VM is cut off, so the session is closed between two
+// requests and the caller opens another one at another VM. A session that is opened meanwhile
+// is closed after its first answer. After the VM is no longer cut off, sessions stay open.
 func TestSheddingClosesSessionsBetweenRequests(t *testing.T) {
 	f := start(t)
-	rests, resting := f.open("newest"), f.open("newest")
-	rests.expect("write a 1", "I ok d")
-	resting.expect("begin", "T ok")
+	idle, inTransaction := f.open("newest"), f.open("newest")
+	idle.expect("write a 1", "I ok d")
+	inTransaction.expect("begin", "T ok")
 	f.server.Shed()
-	if got := rests.hear(); got != "closed" {
-		t.Fatalf("a session that rests: %q", got)
+	if got := idle.readLine(); got != "closed" {
+		t.Fatalf("an idle session: %q", got)
 	}
-	resting.expect("write a 2", "T ok d")
-	resting.expect("commit", "I ok d")
-	if got := resting.hear(); got != "closed" {
+	inTransaction.expect("write a 2", "T ok d")
+	inTransaction.expect("commit", "I ok d")
+	if got := inTransaction.readLine(); got != "closed" {
 		t.Fatalf("after its transaction: %q", got)
 	}
 	late := f.open("newest")
 	late.expect("write a 3", "I ok d")
-	if got := late.hear(); got != "closed" {
+	if got := late.readLine(); got != "closed" {
 		t.Fatalf("a new session after its answer: %q", got)
 	}
 	f.server.Keep()
@@ -174,9 +174,9 @@
 	kept.expect("write a 5", "I ok d")
 }
 
-// The daemon leaves while a transaction rests: it is rolled back when its time is over,
-// and the caller learns so with its next statement.
-func TestLeavingEndsTransactionsThatRest(t *testing.T) {
+// The daemon leaves while a transaction is idle. The transaction is rolled back at the time
+// that the plan sets, and the caller's next statement is answered with this failure.
+func TestLeavingRollsBackIdleTransactions(t *testing.T) {
 	f := start(t)
 	c := f.open("newest")
 	c.expect("begin", "T ok")
@@ -188,9 +188,10 @@
 	c.expect("rollback", "I ok")
 }
 
-// The primary is being replaced, so nobody can be asked for the newest position. It is
-// known to stand still: reads of a stated age go on at the replica.
-func TestBoundedReadsGoOnWhileThePrimaryIsReplaced(t *testing.T) {
+// The primary is being replaced, so no target can be asked for the newest position. The
+// position is known not to change, so reads with a bounded staleness must continue at the
+// replica.
+func TestBoundedReadsContinueWhilePrimaryIsReplaced(t *testing.T) {
 	f := start(t)
 	f.rights.set(false)
 	f.rights.mu.Lock()
@@ -199,9 +200,9 @@
 	f.open("bounded").expect("read a", "I ok d")
 }
 
-// A replica lags, and the reads go to the primary. When it has caught up they must come
-// back to it by themselves, or the primary carries the group's whole load for good.
-func TestReadsComeBackToAReplicaThatCaughtUp(t *testing.T) {
+// A replica lags, and its reads go to the primary. Once the replica has caught up, reads must
+// return to it without any intervention, or the primary carries the group's whole load forever.
+func TestReadsReturnToReplicaThatCaughtUp(t *testing.T) {
 	f := start(t)
 	c := f.open("own")
 	c.expect("write a 1", "I ok d")
@@ -218,9 +219,9 @@
 	t.Fatal("all reads stay at the primary")
 }
 
-// The VM is cut off from its coordinator and the store. Its callers are told so at once,
-// while they have time to go to another VM, and not when their statement's time is over.
-func TestACutOffVMRefusesAtOnce(t *testing.T) {
+// The VM is cut off from its coordinator and the store. Requests must be refused at once, while
+// their callers have time to go to another VM, and not only when the statement's timeout is over.
+func TestCutOffVMRefusesAtOnce(t *testing.T) {
 	f := start(t)
 	f.rights.mu.Lock()
 	f.rights.held, f.rights.cut = false, true
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -32,8 +32,8 @@
 	replica = topology.TargetID("r")
 )
 
-// textCaller is a caller's connection in a protocol of the tests: a line a statement,
-// its kind first; answers are one line, too.
+// textCaller is a caller's connection in a text protocol for the tests. A statement is
+// one line that starts with its kind; an answer is one line, too.
 type textCaller struct {
 	conn    net.Conn
 	r       *bufio.Reader
@@ -62,12 +62,12 @@
 }
 
 func (c *textCaller) Begun() bool    { return c.partial != "" || c.r.Buffered() > 0 }
-func (c *textCaller) Welcome() error { return c.say("welcome") }
+func (c *textCaller) Welcome() error { return c.writeLine("welcome") }
 func (c *textCaller) Refuse(e *result.Error) error {
-	return c.say("refused " + e.Code.Name())
+	return c.writeLine("refused " + e.Code.Name())
 }
 
-func (c *textCaller) say(s string) error {
+func (c *textCaller) writeLine(s string) error {
 	_, err := io.WriteString(c.conn, s+"\n")
 	return err
 }
@@ -88,19 +88,19 @@
 
 func (c *textCaller) Answer(a statement.Answer) error {
 	if a.Failure != nil {
-		return c.say(string(a.State) + " " + a.Failure.Code.Name() + " " + a.Failure.Ran.String())
+		return c.writeLine(string(a.State) + " " + a.Failure.Code.Name() + " " + a.Failure.Ran.String())
 	}
-	return c.say(string(a.State) + " ok " + a.Digest)
+	return c.writeLine(string(a.State) + " ok " + a.Digest)
 }
 
-// database is the twin of a database.
+// database is a fake database.
 type database struct {
 	mu       sync.Mutex
 	position position.Position
 	ran      []string
 	commands map[target.CommandKind]int
-	// before is called before a statement of a caller runs; an error breaks the
-	// connection after the run, a failure is the answer.
+	// before is called before a statement of a caller runs. An error breaks the
+	// connection; a failure is returned as the answer.
 	before func(text string) (*result.Error, error)
 }
 
@@ -110,7 +110,7 @@
 	return strings.Join(d.ran, ", ")
 }
 
-// commandsOf counts the commands of a kind that it has run.
+// commandsOf returns how many commands of a kind it has run.
 func (d *database) commandsOf(kind target.CommandKind) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -170,7 +170,7 @@
 	return statement.Answer{Digest: digest, State: c.state, Position: d.position}, nil
 }
 
-// rights is the twin of a lead: a test gives and takes the right.
+// rights is a fake gateway.Rights, with which a test grants and revokes the right.
 type rights struct {
 	mu      sync.Mutex
 	row     lease.Row
@@ -236,7 +236,7 @@
 	return &row
 }
 
-// fixture is a server with its surroundings.
+// fixture is a server with the fakes that it runs on.
 type fixture struct {
 	t         *testing.T
 	server    *gateway.Server
@@ -330,11 +330,11 @@
 	if _, err := io.WriteString(c.conn, text+"\n"); err != nil {
 		c.t.Fatal(err)
 	}
-	return c.hear()
+	return c.readLine()
 }
 
-// hear returns the next line, or "closed".
-func (c *client) hear() string {
+// readLine returns the next line, or "closed".
+func (c *client) readLine() string {
 	c.t.Helper()
 	_ = c.conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 	s, err := c.r.ReadString('\n')
@@ -354,7 +354,7 @@
 	}
 }
 
-// opening returns what a new session is told.
+// opening opens a session and returns the server's answer.
 func (f *fixture) opening(name string) string {
 	f.t.Helper()
 	conn, err := net.Dial("tcp", f.address)
--- a/internal/gateway/identity.go
+++ b/internal/gateway/identity.go
@@ -9,8 +9,8 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// identify returns the customer whose key a session was opened with, by the configuration in force.
-// Sessions of an open class may have none.
+// identify returns the customer that holds the session's key in the configuration in force. A session of
+// an open class may have no customer.
 func (s *Server) identify(sess *session, class *directory.Class) (topology.CustomerID, *result.Error) {
 	config := s.Directory.Configuration()
 	if config.Customers == nil {
@@ -23,24 +23,24 @@
 	return id, nil
 }
 
-// revoked reports whether the session's key identifies nobody any more.
+// revoked reports whether no customer holds the session's key any more.
 func (s *session) revoked() bool {
 	class, ok := s.server.Directory.Class(s.database)
 	if !ok {
-		return false // Its next request is told so.
+		return false // Its next request is refused.
 	}
 	_, failure := s.server.identify(s, &class)
 	return failure != nil
 }
 
-// endRevoked closes sessions between two operations as their key is taken away.
-func (s *Server) endRevoked(ctx context.Context) {
+// closeRevoked closes sessions, between two operations, whose key is no longer in the configuration.
+func (s *Server) closeRevoked(ctx context.Context) {
 	var seen uint64
 	for {
 		changed := s.Directory.Changed()
 		if c := s.Directory.Configuration(); c != nil && c.Version != seen {
 			seen = c.Version
-			s.wakeRevoked(c)
+			s.interruptRevoked(c)
 		}
 		select {
 		case <-changed:
@@ -50,7 +50,7 @@
 	}
 }
 
-func (s *Server) wakeRevoked(c *directory.Configuration) {
+func (s *Server) interruptRevoked(c *directory.Configuration) {
 	if c.Customers == nil {
 		return
 	}
@@ -67,12 +67,12 @@
 	}
 	s.Log.Info("event=sessions_revoked", "sessions", len(revoked), "version", c.Version)
 	for _, sess := range revoked {
-		sess.wake()
+		sess.interrupt()
 	}
 }
 
-// beginOperation returns what an operation that begins now is served as, unless its customer may not begin
-// one.
+// beginOperation returns the class and the customer of an operation that begins now, or a failure if the
+// customer may not begin one.
 func (s *session) beginOperation(st *statement.Statement) (directory.Class, topology.CustomerID, *result.Error) {
 	class, ok := s.server.Directory.Class(s.database)
 	if !ok {
@@ -88,7 +88,7 @@
 	return class, id, failure
 }
 
-// logRefused writes one line for an operation that may not begin, and counts it.
+// logRefused logs and counts an operation that was refused before it began.
 func (s *session) logRefused(st *statement.Statement, class *directory.Class, id topology.CustomerID, why *result.Error) {
 	s.server.Customers.Request(id, why, 0)
 	s.server.Log.Info("event=request_failed", "request", st.ID, "session", s.number, "customer", id, "class", class.Name,
@@ -96,8 +96,8 @@
 		"retry_after", why.RetryAfter, "detail", why.Detail)
 }
 
-// notBegun gives the operation back to its customer's limit: it has not run.
-func (r *request) notBegun() {
+// returnOperation returns the operation to its customer's limit, since it has not run.
+func (r *request) returnOperation() {
 	if r.customer != "" && r.server.Limits != nil {
 		r.server.Limits.Return(r.customer)
 	}
--- a/internal/gateway/identity_test.go
+++ b/internal/gateway/identity_test.go
@@ -10,7 +10,7 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// setKeys puts a configuration in force whose customers hold these keys; "public" needs none.
+// setKeys puts a configuration in force whose customers hold these keys; the database "public" needs none.
 func (f *fixture) setKeys(version uint64, keys map[topology.CustomerID][]string) {
 	f.t.Helper()
 	var customers []customer.Customer
@@ -35,8 +35,8 @@
 	}
 }
 
-// Guards against sessions of nobody: without the key of a customer none is opened.
-func TestASessionNeedsACustomersKey(t *testing.T) {
+// Guards against sessions without a customer: without a customer's key no session is opened.
+func TestSessionRequiresCustomerKey(t *testing.T) {
 	f := start(t)
 	f.setKeys(2, map[topology.CustomerID][]string{"acme": {"k1"}})
 	for opening, want := range map[string]string{
@@ -53,22 +53,22 @@
 	}
 }
 
-// Guards against a key that goes on being served after it was taken away, by a session that was open.
-func TestASessionEndsWithItsKey(t *testing.T) {
+// Guards against an open session that is served after its key has been revoked.
+func TestSessionEndsWhenItsKeyIsRevoked(t *testing.T) {
 	f := start(t)
 	f.setKeys(2, map[topology.CustomerID][]string{"acme": {"k1", "k2"}})
-	gone, stays := f.open("newest k1"), f.open("newest k2")
-	gone.expect("read 1", "I ok d")
+	revoked, valid := f.open("newest k1"), f.open("newest k2")
+	revoked.expect("read 1", "I ok d")
 	f.setKeys(3, map[topology.CustomerID][]string{"acme": {"k2"}})
-	if got := gone.hear(); got != "closed" {
-		t.Fatalf("heard %q", got)
+	if got := revoked.readLine(); got != "closed" {
+		t.Fatalf("got %q", got)
 	}
-	stays.expect("read 2", "I ok d")
+	valid.expect("read 2", "I ok d")
 }
 
-// Guards against a transaction that is cut off in the middle as its session's key is taken away; the
-// next operation is refused.
-func TestATransactionOutlivesItsKey(t *testing.T) {
+// Guards against a transaction that is cut off because its session's key is revoked; the session ends
+// after the transaction.
+func TestTransactionContinuesAfterItsKeyIsRevoked(t *testing.T) {
 	f := start(t)
 	f.setKeys(2, map[topology.CustomerID][]string{"acme": {"k1"}})
 	c := f.open("newest k1")
@@ -77,13 +77,13 @@
 	f.setKeys(3, map[topology.CustomerID][]string{"acme": {}})
 	time.Sleep(50 * time.Millisecond)
 	c.expect("commit", "I ok d")
-	if got := c.hear(); got != "closed" {
-		t.Fatalf("heard %q", got)
+	if got := c.readLine(); got != "closed" {
+		t.Fatalf("got %q", got)
 	}
 }
 
-// Guards against a request of a key that was taken away a moment before, and that reaches a target.
-func TestARequestAfterItsKeyIsRefused(t *testing.T) {
+// Guards against a request that reaches a target although its key was revoked just before.
+func TestRequestAfterItsKeyIsRevokedIsRefused(t *testing.T) {
 	f := start(t)
 	f.setKeys(2, map[topology.CustomerID][]string{"acme": {"k1"}})
 	c := f.open("newest k1")
@@ -95,14 +95,14 @@
 	}
 	c.expect("read 1", "I ok d")
 	if got := c.ask("read 2"); got != "I BadCredentials not run" && got != "closed" {
-		t.Fatalf("heard %q", got)
+		t.Fatalf("got %q", got)
 	}
 	if got := f.databases[primary].statements(); got != "read 1" {
 		t.Fatalf("ran %s", got)
 	}
 }
 
-// limits refuse customers that they name, and count what is given back.
+// limits refuses the customers in refused, and counts admitted and returned operations.
 type limits struct {
 	refused  map[topology.CustomerID]bool
 	admitted int
@@ -119,8 +119,9 @@
 
 func (l *limits) Return(topology.CustomerID) { l.returned++ }
 
-// Guards against a limit that counts statements: a transaction is one operation, and is not cut by it.
-func TestALimitCountsOperations(t *testing.T) {
+// Guards against a limit that counts statements: a transaction is one operation, and is not interrupted by
+// the limit.
+func TestLimitCountsOperations(t *testing.T) {
 	f := start(t)
 	l := &limits{refused: map[topology.CustomerID]bool{}}
 	f.server.Limits = l
@@ -137,9 +138,9 @@
 	}
 }
 
-// Guards against operations that count though they have not run: a customer's limit would be used up by
-// its refused tries.
-func TestAnOperationThatHasNotRunIsGivenBack(t *testing.T) {
+// Guards against operations that count towards the limit although they have not run: refused attempts would
+// use up the customer's limit.
+func TestOperationThatHasNotRunIsReturned(t *testing.T) {
 	f := start(t)
 	l := &limits{}
 	f.server.Limits = l
@@ -150,6 +151,6 @@
 	f.databases[primary].before = func(string) (*result.Error, error) { return nil, errors.New("broken") }
 	c.ask("write 1")
 	if l.admitted != 2 || l.returned != 1 {
-		t.Fatalf("%d admitted, %d given back", l.admitted, l.returned)
+		t.Fatalf("%d admitted, %d returned", l.admitted, l.returned)
 	}
 }
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -8,26 +8,26 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// leave has a target say that it leaves, a while after it was last known to stay.
-func (f *fixture) leave(id topology.TargetID, ago time.Duration) {
+// markLeaving marks a target as leaving since the given time ago.
+func (f *fixture) markLeaving(id topology.TargetID, ago time.Duration) {
 	t, _ := f.directory.Target(id)
 	t.Leaving, t.LeavingSince = true, mono.System{}.Now().Add(-ago)
 	f.directory.SetTarget(t)
-	time.Sleep(3 * poolsFollow)
+	time.Sleep(3 * poolsUpdateTime)
 }
 
 const (
-	// poolsFollow is how long it takes until the pools know what the directory does.
-	poolsFollow = 50 * time.Millisecond
-	// longAgo is longer than a target that leaves serves.
+	// poolsUpdateTime is how long it takes until the pools have applied a change of the directory.
+	poolsUpdateTime = 50 * time.Millisecond
+	// longAgo is longer than a leaving target serves.
 	longAgo = time.Minute
 )
 
-// Guards against requests that are held until their deadline though all targets of their group have left.
-func TestAGroupWhoseTargetsHaveAllLeftRefusesAtOnce(t *testing.T) {
+// Guards against requests that are held until their deadline although all targets of their group have left.
+func TestGroupWhoseTargetsHaveAllLeftRefusesAtOnce(t *testing.T) {
 	f := start(t)
-	f.leave(replica, longAgo)
-	f.leave(primary, longAgo)
+	f.markLeaving(replica, longAgo)
+	f.markLeaving(primary, longAgo)
 	c := f.open("newest")
 	for _, text := range []string{"write a 1", "read a"} {
 		began := time.Now()
@@ -47,11 +47,11 @@
 	}
 }
 
-// Guards against reads that are held until their deadline though all targets of their group have left.
+// Guards against reads that are held until their deadline although all targets of their group have left.
 func TestReadsOfAGroupWhoseTargetsHaveAllLeftAreRefusedAtOnce(t *testing.T) {
 	f := start(t)
-	f.leave(replica, time.Second)
-	f.leave(primary, longAgo)
+	f.markLeaving(replica, time.Second)
+	f.markLeaving(primary, longAgo)
 	for _, class := range []string{"own", "bounded"} {
 		c := f.open(class)
 		began := time.Now()
@@ -64,14 +64,15 @@
 	}
 }
 
-// Guards against requests that are held until their deadline for as long as their group has no database.
-func TestAGroupWithoutTargetsIsToldAtOnceAfterAWhile(t *testing.T) {
+// Guards against requests that are held until their deadline as long as their group has no database. At
+// first they must be held, since a database may be about to return.
+func TestGroupWithoutTargetsRefusesAtOnceAfterLongOutage(t *testing.T) {
 	f := start(t)
 	registered := f.directory.Targets()
 	f.directory.KeepRegistrations(map[string]bool{})
-	time.Sleep(3 * poolsFollow)
+	time.Sleep(3 * poolsUpdateTime)
 	newest, bounded := f.open("newest"), f.open("bounded")
-	held := func(c *client, text string) time.Duration {
+	timeToRefusal := func(c *client, text string) time.Duration {
 		t.Helper()
 		began := time.Now()
 		c.expect(text, "I NoPrimary not run")
@@ -79,26 +80,26 @@
 	}
 	began := time.Now()
 	for time.Since(began) < 3200*time.Millisecond {
-		write, read := held(newest, "write a 1"), held(bounded, "read a")
+		write, read := timeToRefusal(newest, "write a 1"), timeToRefusal(bounded, "read a")
 		if time.Since(began) < 2*time.Second && min(write, read) < statementTimeout/2 {
 			t.Fatalf("refused after %v and %v, though a database may have been about to come back", write, read)
 		}
 	}
-	if write, read := held(newest, "write a 1"), held(bounded, "read a"); max(write, read) > statementTimeout/4 {
+	if write, read := timeToRefusal(newest, "write a 1"), timeToRefusal(bounded, "read a"); max(write, read) > statementTimeout/4 {
 		t.Fatalf("held for %v and %v", write, read)
 	}
 	for _, target := range registered {
 		f.directory.SetTarget(target)
 	}
-	time.Sleep(3 * poolsFollow)
+	time.Sleep(3 * poolsUpdateTime)
 	newest.expect("write a 1", "I ok d")
 	bounded.expect("read a", "I ok d")
 }
 
-// Guards against writes that are refused while the primary that leaves is about to be replaced.
-func TestAWriteWaitsForTheSuccessorOfAPrimaryThatHasLeft(t *testing.T) {
+// Guards against writes that are refused while the leaving primary is about to be replaced.
+func TestWriteWaitsForSuccessorOfPrimaryThatHasLeft(t *testing.T) {
 	f := start(t)
-	f.leave(primary, longAgo)
+	f.markLeaving(primary, longAgo)
 	time.AfterFunc(statementTimeout/4, func() {
 		f.rights.mu.Lock()
 		f.rights.row.Primary, f.rights.row.Term = replica, 2
@@ -111,11 +112,11 @@
 	}
 }
 
-// Guards against reads that are refused though the primary that leaves still serves, and no replica is left.
-func TestReadsAreServedByThePrimaryThatLeavesLast(t *testing.T) {
+// Guards against reads that are refused although the leaving primary still serves and no replica is left.
+func TestLeavingPrimaryServesReadsWithoutReplica(t *testing.T) {
 	f := start(t)
-	f.leave(replica, time.Second)
-	f.leave(primary, time.Second)
+	f.markLeaving(replica, time.Second)
+	f.markLeaving(primary, time.Second)
 	for _, class := range []string{"own", "bounded"} {
 		c := f.open(class)
 		c.expect("read a", "I ok d")
@@ -128,10 +129,10 @@
 	}
 }
 
-// Guards against reads that go to a primary that leaves though a replica stays.
-func TestReadsAvoidAPrimaryThatLeaves(t *testing.T) {
+// Guards against reads that go to a leaving primary although a replica stays.
+func TestReadsAvoidLeavingPrimary(t *testing.T) {
 	f := start(t)
-	f.leave(primary, time.Second)
+	f.markLeaving(primary, time.Second)
 	c := f.open("bounded")
 	for range 20 {
 		c.expect("read a", "I ok d")
@@ -141,10 +142,10 @@
 	}
 }
 
-// Guards against writes that are held until their deadline for as long as a primary that has left is not replaced.
-func TestAPrimaryThatHasLeftForLongIsNotWaitedFor(t *testing.T) {
+// Guards against writes that are held until their deadline as long as a primary that has left is not replaced.
+func TestPrimaryThatLeftLongAgoIsNotWaitedFor(t *testing.T) {
 	f := start(t)
-	f.leave(primary, longAgo)
+	f.markLeaving(primary, longAgo)
 	newest, bounded := f.open("newest"), f.open("bounded")
 	for began := time.Now(); time.Since(began) < 3200*time.Millisecond; {
 		newest.expect("write a 1", "I TargetLeaving not run")
@@ -157,10 +158,10 @@
 	}
 }
 
-// Guards against a primary without a successor that is given up before its time is over.
-func TestAPrimaryThatLeavesServesUntilItsTimeIsOver(t *testing.T) {
+// Guards against a leaving primary without a successor that is given no work before its drain time is over.
+func TestLeavingPrimaryServesUntilDrainTimeIsOver(t *testing.T) {
 	f := start(t)
-	f.leave(replica, longAgo)
-	f.leave(primary, time.Second)
+	f.markLeaving(replica, longAgo)
+	f.markLeaving(primary, time.Second)
 	f.open("newest").expect("write a 1", "I ok d")
 }
--- a/internal/gateway/lostlog_test.go
+++ b/internal/gateway/lostlog_test.go
@@ -7,35 +7,35 @@
 	"github.com/buckthornshore/buckthornshore/pkg/position"
 )
 
-// forget has a database start again without its log, reachable under its name.
-func (d *database) forget() {
+// loseLog simulates a restart of the database without its log, under the same ID.
+func (d *database) loseLog() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.position = position.Position{Term: 1}
 }
 
-// A caller wrote, and its primary has started again without its log before anybody was told. A
-// read there would show nothing of the write: it is refused as not run, also to other sessions,
-// and a further write is not told as a success.
-func TestAPrimaryThatLostItsLogAcknowledgesNothing(t *testing.T) {
+// The primary has restarted without its log after a caller's write, and no VM knows of the restart yet. A
+// read there would not show the write, so it is refused as not run, in other sessions as well, and a
+// further write must not be reported as a success.
+func TestPrimaryThatLostItsLogAcknowledgesNothing(t *testing.T) {
 	f := start(t)
 	writer, reader := f.open("newest"), f.open("newest")
 	for range 3 {
 		writer.expect("write a 1", "I ok d")
 	}
-	f.databases[primary].forget()
+	f.databases[primary].loseLog()
 	reader.expect("read a", "I NoRight not run")
 	writer.expect("write a 2", "I OutcomeUnknown unknown")
 }
 
-// The same in a transaction: its first statement shows that the log is gone.
-func TestATransactionAtAPrimaryThatLostItsLogIsAborted(t *testing.T) {
+// The same in a transaction, whose first statement shows that the log is lost.
+func TestTransactionAtPrimaryThatLostItsLogIsAborted(t *testing.T) {
 	f := start(t)
 	c := f.open("newest")
 	for range 3 {
 		c.expect("write a 1", "I ok d")
 	}
-	f.databases[primary].forget()
+	f.databases[primary].loseLog()
 	c.ask("begin")
 	if got := c.ask("read a"); !strings.Contains(got, "TransactionAborted") {
 		t.Fatalf("%q", got)
--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -10,63 +10,65 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// longOutage is how long a group may lack what its requests need before they are refused at once.
-// A change of primary ends while a caller waits; what lasts for longer, as a primary in a data
-// centre that is cut off while the store is out, has no end in sight.
+// longOutage is how long something that a group's requests need may be unavailable before they are
+// refused at once. A change of primary completes while a caller waits. An outage that lasts longer, such
+// as a primary in a data centre that is cut off while the store is down, has no foreseeable end.
 const longOutage = 3 * time.Second
 
-// outage is since when requests of a group lack something; 0: they don't.
+// outage records since when something that a group's requests need has been unavailable; 0 if it is
+// available.
 type outage struct{ since mono.Time }
 
-// lacking notes that a request lacks it, and reports whether that is so for long.
-func (o *outage) lacking(now mono.Time) bool {
+// missing records that a request did not find it, and reports whether it has been unavailable for longer
+// than longOutage.
+func (o *outage) missing(now mono.Time) bool {
 	if o.since == 0 {
 		o.since = now
 	}
 	return now.Sub(o.since) > longOutage
 }
 
-func (o *outage) over() { o.since = 0 }
+func (o *outage) found() { o.since = 0 }
 
 // need is something that requests of a group need.
 type need int
 
 const (
-	needRight   need = iota // to acknowledge at the primary
-	needAge                 // to be shown for reads
-	needPrimary             // that takes new work
-	needTarget              // that may run a read
-	needs
+	needRight   need = iota // the right to acknowledge for the primary
+	needAge                 // a recent position of the primary, which shows the age of reads
+	needPrimary             // a primary that accepts new work
+	needTarget              // a target that may run a read
+	needCount
 )
 
-// lacks notes that a request of the group lacks something, and reports whether that has been so
-// for longer than usual, so that it is better refused now.
-func (r *router) lacks(group topology.GroupID, n need) bool {
+// recordMissing records that a request of the group did not find what it needs, and reports whether that has
+// been so for longer than longOutage, so that the request is better refused now.
+func (r *router) recordMissing(group topology.GroupID, n need) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.view(group).outages[n].lacking(r.clock.Now())
+	return r.view(group).outages[n].missing(r.clock.Now())
 }
 
-// has notes that a request of the group found what it needs.
-func (r *router) has(group topology.GroupID, n need) {
+// recordFound records that a request of the group found what it needs.
+func (r *router) recordFound(group topology.GroupID, n need) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.view(group).outages[n].over()
+	r.view(group).outages[n].found()
 }
 
-// allLeave reports whether a group has targets, and none that stays.
-func allLeave(targets []directory.Target) bool {
+// allLeaving reports whether a group has targets and all of them are leaving.
+func allLeaving(targets []directory.Target) bool {
 	return len(targets) > 0 && !slices.ContainsFunc(targets, func(t directory.Target) bool { return !t.Leaving })
 }
 
-// lacksTarget reports whether a request failed since no target takes it, with no end in sight, so that it is better
-// refused now: all targets of its group leave, or what it needs has been lacking for long.
-func (r *router) lacksTarget(c *directory.Class, failure *result.Error, n need) bool {
+// noTargetSoon reports whether a request failed because no target accepts it, and is better refused now than
+// retried: all targets of its group are leaving, or what it needs has been unavailable for longer than longOutage.
+func (r *router) noTargetSoon(c *directory.Class, failure *result.Error, n need) bool {
 	switch failure.Code {
 	case result.TargetLeaving:
-		return allLeave(r.directory.TargetsOf(c.Group)) || r.lacks(c.Group, n)
+		return allLeaving(r.directory.TargetsOf(c.Group)) || r.recordMissing(c.Group, n)
 	case result.NoPrimary:
-		return r.lacks(c.Group, n)
+		return r.recordMissing(c.Group, n)
 	}
 	return false
 }
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// A group has had no primary for longer than any replacement takes. The first callers waited for
-// it; those that come now are told at once, with when to come back, and served as soon as it is back.
-func TestALongOutageIsToldAtOnce(t *testing.T) {
+// A group has had no primary for longer than any replacement takes. The first requests wait for a
+// primary. Later ones are refused at once, with a time to retry after, and are served as soon as there
+// is a primary again.
+func TestLongOutageIsRefusedAtOnce(t *testing.T) {
 	f := start(t)
 	f.rights.set(false)
 	c := f.open("newest")
@@ -36,9 +37,9 @@
 	}
 }
 
-// Guards against refusals after an outage: nobody asked for the group since it began, so that nothing
-// showed its end, and each request was refused for it without a try.
-func TestAnOutageThatIsOverRefusesNobody(t *testing.T) {
+// Guards against refusals after an outage has ended. Without requests of the group since it began, nothing
+// had shown its end, and each request was refused without an attempt.
+func TestNoRefusalAfterOutageHasEnded(t *testing.T) {
 	f := start(t)
 	f.rights.set(false)
 	c := f.open("bounded")
@@ -49,7 +50,7 @@
 	if waited := time.Since(began); waited > statementTimeout/4 {
 		t.Fatalf("held for %v in a long outage", waited)
 	}
-	time.Sleep(400 * time.Millisecond) // Nobody asks for a position any more.
+	time.Sleep(400 * time.Millisecond) // No request for a position is pending any more.
 	f.rights.set(true)
 	c.expect("read a", "I ok d")
 }
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -8,8 +8,8 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// refuse has the primary refuse statements for its load while the counter is above zero.
-func (f *fixture) refuse(n *atomic.Int64) {
+// refuseStatements makes the primary refuse statements because of its load while the counter is above zero.
+func (f *fixture) refuseStatements(n *atomic.Int64) {
 	f.databases[primary].before = func(string) (*result.Error, error) {
 		if n.Add(-1) >= 0 {
 			return result.New(result.TargetBusy, ""), nil
@@ -18,16 +18,17 @@
 	}
 }
 
-// The target has refused a statement for its load just before. A caller's new transaction is
-// refused at once, before any of it has run: of its six statements one would be refused, too,
-// and what ran before it would have taken the place of other callers for nothing. Single
-// statements go on, and transactions are taken again once the target refuses no more.
-func TestASaturatedTargetTakesNoNewTransaction(t *testing.T) {
+// The target has just refused a statement because of its load. A new transaction is refused at
+// once, before any of it has run: one of a transaction's six statements would be refused as
+// well, and those that had run before it would have displaced other callers' statements for
+// nothing. Single statements are still sent, and transactions are accepted again once the target
+// stops refusing.
+func TestSaturatedTargetAcceptsNoNewTransaction(t *testing.T) {
 	f := start(t)
 	var refusals atomic.Int64
-	f.refuse(&refusals)
+	f.refuseStatements(&refusals)
 	refusals.Store(1)
-	f.open("newest").expect("write a 1", "I ok d") // Its second try.
+	f.open("newest").expect("write a 1", "I ok d") // At its second attempt.
 	c := f.open("newest")
 	c.expect("begin", "T ok")
 	begun := time.Now()
@@ -45,12 +46,12 @@
 	c.expect("read a", "T ok d")
 }
 
-// A transaction has run a statement when the target becomes saturated. Its next statement is
-// tried again in place: the caller notices nothing, and what has run is not lost.
-func TestATransactionUnderWayInsists(t *testing.T) {
+// The target becomes saturated when a transaction has already run a statement. The next statement
+// is retried on the same connection: the caller gets a success, and what has run is not lost.
+func TestRunningTransactionRetriesAtBusyTarget(t *testing.T) {
 	f := start(t)
 	var refusals atomic.Int64
-	f.refuse(&refusals)
+	f.refuseStatements(&refusals)
 	c := f.open("newest")
 	c.expect("begin", "T ok")
 	c.expect("write a 1", "T ok d")
@@ -62,13 +63,13 @@
 	}
 }
 
-// The target refuses everything for its load. A caller that wants its answer within 100 ms is
-// told that nothing has run when half of that is over, with the time to go elsewhere, and not
-// when its statement's 400 ms are over.
-func TestARequestStopsTryingWhenItIsLate(t *testing.T) {
+// The target refuses everything because of its load. A request whose class has an objective of
+// 100 ms is refused as not run after half of that, while its caller has time to go to another VM,
+// and not after its statement's timeout of 400 ms.
+func TestRequestStopsRetryingWhenLate(t *testing.T) {
 	f := start(t)
 	var refusals atomic.Int64
-	f.refuse(&refusals)
+	f.refuseStatements(&refusals)
 	refusals.Store(1 << 40)
 	begun := time.Now()
 	f.open("hasty").expect("write a 1", "I TargetBusy not run")
--- a/internal/gateway/positions_test.go
+++ b/internal/gateway/positions_test.go
@@ -12,9 +12,9 @@
 
 func now() mono.Time { return mono.System{}.Now() }
 
-// Guards against a request for the primary's position before each caller's read, though another VM has
-// told one that shows the age.
-func TestAToldPositionServesReads(t *testing.T) {
+// Guards against a request for the primary's position before each caller's read although another VM has
+// shared one that shows the age.
+func TestSharedPositionServesReads(t *testing.T) {
 	f := start(t)
 	sample := routing.Sample{Begun: now().Add(-100 * time.Millisecond), Position: position.Position{Term: 1, Index: 1}}
 	f.server.Positions().Add(group, sample)
@@ -28,8 +28,8 @@
 	}
 }
 
-// A position is renewed once it is older than wanted, by one request at a time.
-func TestAnOldPositionIsRenewed(t *testing.T) {
+// A position is renewed once it is older than the given age and not before, by one request at a time.
+func TestOldPositionIsRenewed(t *testing.T) {
 	f := start(t)
 	positions := f.server.Positions()
 	positions.Add(group, routing.Sample{Begun: now().Add(-time.Second), Position: position.Position{Term: 1, Index: 1}})
--- a/internal/gateway/primary.go
+++ b/internal/gateway/primary.go
@@ -14,20 +14,20 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// atPrimary runs a single statement at the primary. It is tried again while it is
-// proved that it has not run, and a read also when that is not known.
+// atPrimary runs a single statement at the primary. A write is retried only if it
+// certainly has not run; a read is retried also if it may have run.
 func (r *request) atPrimary() statement.Answer {
 	var last *result.Error
-	for r.left(sendReserve) && r.ctx.Err() == nil {
+	for r.hasTimeFor(sendReserve) && r.ctx.Err() == nil {
 		answer, failure := r.tryPrimary()
 		if failure == nil {
 			return answer
 		}
 		last = failure
-		if failure.Code == result.NoRight && (r.server.Rights.CutOff() || r.server.router.lacks(r.class.Group, needRight)) {
+		if failure.Code == result.NoRight && (r.server.Rights.CutOff() || r.server.router.recordMissing(r.class.Group, needRight)) {
 			break
 		}
-		if overloaded(failure) && r.hopeless() || r.server.router.lacksTarget(&r.class, failure, needPrimary) {
+		if overloaded(failure) && r.maxWaitOver() || r.server.router.noTargetSoon(&r.class, failure, needPrimary) {
 			break
 		}
 		if r.writes && failure.Ran != result.NotRun || failure.Code == result.DeadlineExceeded {
@@ -35,7 +35,7 @@
 		}
 		r.pause(retryPause)
 	}
-	return statement.Fail(refuse(last), statement.Idle)
+	return statement.Fail(withRetryAfter(last), statement.Idle)
 }
 
 func (r *request) tryPrimary() (statement.Answer, *result.Error) {
@@ -48,20 +48,20 @@
 		return statement.Answer{}, failure
 	}
 	defer link.Release()
-	r.server.router.has(r.class.Group, needPrimary)
+	r.server.router.recordFound(r.class.Group, needPrimary)
 	if !r.server.Rights.Confirm(right) {
 		return statement.Answer{}, noRight(right)
 	}
-	begun, held := r.server.Clock.Now(), r.server.router.newest(r.class.Group)
-	answer, err := r.run(link, position.Position{}, yields)
+	begun, heldBefore := r.server.Clock.Now(), r.server.router.newest(r.class.Group)
+	answer, err := r.run(link, position.Position{}, returnRefusal)
 	if err != nil {
-		return answer, r.lost(right.Primary, err)
+		return answer, r.connectionFailure(right.Primary, err)
 	}
 	if answer.Failure != nil {
 		return answer, answer.Failure
 	}
-	if answer.Position.Less(held) {
-		return answer, r.lostLog(right, answer.Position, held)
+	if answer.Position.Less(heldBefore) {
+		return answer, r.lostLogFailure(right, answer.Position, heldBefore)
 	}
 	if failure := r.acknowledge(right, begun, answer.Position); failure != nil {
 		return answer, failure
@@ -69,30 +69,31 @@
 	return answer, nil
 }
 
-// primary waits for the right to acknowledge at the group's primary.
+// primary waits for the right to acknowledge for the group's primary, and returns it
+// with the primary's pool.
 func (r *request) primary() (lease.Right, *target.Pool, *result.Error) {
 	right, ok := r.right()
 	if !ok {
-		return right, nil, result.New(result.NoRight, "group %s", r.class.Group).After(comeBack)
+		return right, nil, result.New(result.NoRight, "group %s", r.class.Group).After(defaultRetryAfter)
 	}
-	r.note(right.Primary)
+	r.recordTarget(right.Primary)
 	pool, ok := r.server.Pools.Get(right.Primary)
 	if !ok {
-		return right, nil, result.New(result.NoPrimary, "%s is not registered", right.Primary).After(comeBack)
+		return right, nil, result.New(result.NoPrimary, "%s is not registered", right.Primary).After(defaultRetryAfter)
 	}
 	return right, pool, nil
 }
 
-// right returns the right for the group's primary, and waits for it unless it has been lacking for
-// long.
+// right returns the right for the group's primary. It waits for the right, unless rights for the
+// group have been unavailable for longer than longOutage.
 func (r *request) right() (lease.Right, bool) {
 	group, router := r.class.Group, r.server.router
 	right, ok := r.server.Rights.Right(group)
-	if !ok && !router.lacks(group, needRight) {
+	if !ok && !router.recordMissing(group, needRight) {
 		right, ok = r.server.Rights.Await(r.ctx, group)
 	}
 	if ok {
-		router.has(group, needRight)
+		router.recordFound(group, needRight)
 	}
 	return right, ok
 }
@@ -101,24 +102,24 @@
 	return result.New(result.NoRight, "it ended for %s in term %d", r.Primary, r.Term)
 }
 
-// lostLog is the failure of a request whose primary holds less than it did before the request was
-// sent.
+// lostLogFailure logs and returns the failure of a request whose primary holds less than it did before the
+// request was sent.
 //
-// A database that starts again under its id without its log takes connections before its registration tells
-// of the start, and reads at the primary carry no position to check. Positions of one term only rise, so a
-// lower one proves the loss.
-func (r *request) lostLog(right lease.Right, holds, held position.Position) *result.Error {
+// A database that restarts under the same ID without its log accepts connections before its registration
+// shows the restart, and reads at the primary carry no position to check. Positions of one term only rise,
+// so a lower one proves the loss.
+func (r *request) lostLogFailure(right lease.Right, holds, heldBefore position.Position) *result.Error {
 	r.server.Log.Warn("event=primary_lost_log", "request", r.st.ID, "group", right.Group, "target", right.Primary,
-		"holds", holds, "held", held)
+		"holds", holds, "held_before", heldBefore)
 	if r.writes {
 		return result.New(result.OutcomeUnknown, "%s holds less than it did", right.Primary)
 	}
 	return noRight(right)
 }
 
-// acknowledge reports whether the caller may be told of a success. The right is
-// looked at after the answer came: if it has ended, another primary may lead by
-// now, and the commit may be among what is rolled back.
+// acknowledge returns nil if the success may be reported to the caller. The right is
+// checked after the answer has arrived: if it has ended, there may be another primary
+// by now, and the commit may be among those that are rolled back.
 func (r *request) acknowledge(right lease.Right, begun mono.Time, p position.Position) *result.Error {
 	if !r.server.Rights.Confirm(right) {
 		if r.writes {
@@ -133,8 +134,9 @@
 	return nil
 }
 
-// lost turns a lost connection into a result: what was sent may have run.
-func (r *request) lost(id topology.TargetID, err error) *result.Error {
+// connectionFailure returns the failure for an error on a target's connection. A statement that
+// was sent may have run.
+func (r *request) connectionFailure(id topology.TargetID, err error) *result.Error {
 	var before notSent
 	if errors.As(err, &before) {
 		e := result.From(before.error)
@@ -149,13 +151,13 @@
 	return result.New(result.OutcomeUnknown, "the connection to %s broke: %v", id, err)
 }
 
-// note remembers where the request went, for the log.
-func (r *request) note(id topology.TargetID) {
+// recordTarget records the target of an attempt, for the log.
+func (r *request) recordTarget(id topology.TargetID) {
 	r.target = id
-	r.targets++
+	r.attempts++
 }
 
-// log writes one line for a request that failed or was late, and counts every one.
+// log counts the request, and logs it if it failed or exceeded its class's objective.
 func (r *request) log(a statement.Answer) {
 	took := r.server.Clock.Now().Sub(r.begun)
 	r.server.Metrics.Request(string(r.class.Group), r.class.Name, a.Failure, took)
@@ -170,7 +172,7 @@
 	}
 	args := []any{
 		"request", r.st.ID, "session", r.number, "customer", r.customer, "class", r.class.Name, "group", r.class.Group, "kind", r.st.Kind,
-		"in_transaction", r.tx != nil, "target", r.target, "attempts", r.targets, "took", took.Round(time.Millisecond),
+		"in_transaction", r.tx != nil, "target", r.target, "attempts", r.attempts, "took", took.Round(time.Millisecond),
 		"waited", r.waited.Round(time.Millisecond),
 		"row_version", version, "term", term,
 	}
--- a/internal/gateway/read.go
+++ b/internal/gateway/read.go
@@ -13,46 +13,48 @@
 )
 
 const (
-	// retryPause between attempts where nothing ran: about one statement's time.
+	// retryPause is the pause between attempts if nothing ran: about the time of one statement.
 	retryPause = 10 * time.Millisecond
-	// behindPause after a refusal of a replica that lags: what is known of it now tells when
-	// it is worth asking again, but not to less than a usual commit's way to it.
-	behindPause = 5 * time.Millisecond
-	// comeBack is when a caller whose request found no target in time may return:
+	// replicaBehindPause is the pause after a replica that lags refused a read. The expected catch-up
+	// time tells when to retry, but no more precisely than the time in which a usual commit
+	// reaches the replica.
+	replicaBehindPause = 5 * time.Millisecond
+	// defaultRetryAfter is when a caller whose request found no target in time may retry:
 	// most failovers are over within a second.
-	comeBack = 500 * time.Millisecond
+	defaultRetryAfter = 500 * time.Millisecond
 )
 
-// sessionFloor is the position that the session's own writes ask for.
+// sessionFloor returns the position that a target must hold for the session to read its
+// own writes; zero if the class does not require that.
 func (r *request) sessionFloor() position.Position {
 	if r.class.Reads != directory.OwnWrites {
 		return position.Position{}
 	}
-	r.settledFloors()
+	r.settleFloors()
 	return r.floors.Floor(r.class.Group)
 }
 
-// readAnywhere runs a read at the replica or primary that serves it soonest and holds
-// what it must see. A read changes nothing, so it is tried again elsewhere when a
-// target fails.
+// readAnywhere runs a read at the replica or primary that is expected to serve it soonest
+// and holds what it must see. A read changes nothing, so it is retried at another target
+// when one fails.
 func (r *request) readAnywhere() statement.Answer {
 	var last, busy *result.Error
 	tried := map[topology.TargetID]bool{}
-	for r.left(sendReserve) && r.ctx.Err() == nil {
-		c, failure := r.server.router.chooseRead(&r.class, r.sessionFloor(), r.patience(), tried)
+	for r.hasTimeFor(sendReserve) && r.ctx.Err() == nil {
+		c, failure := r.server.router.chooseRead(&r.class, r.sessionFloor(), r.maxWait(), tried)
 		if failure != nil {
 			last = failure
-			if r.server.Rights.CutOff() || r.ageLacksForLong(failure) || r.server.router.lacksTarget(&r.class, failure, needTarget) {
+			if r.server.Rights.CutOff() || r.ageMissingForLong(failure) || r.server.router.noTargetSoon(&r.class, failure, needTarget) {
 				break
 			}
-			if busy != nil && r.hopeless() {
+			if busy != nil && r.maxWaitOver() {
 				last = busy
 				break
 			}
 			r.beforeNextRead(failure, tried)
 			continue
 		}
-		r.server.router.has(r.class.Group, needAge)
+		r.server.router.recordFound(r.class.Group, needAge)
 		r.pause(c.catchUp)
 		answer, failure := r.readAt(c)
 		if failure == nil {
@@ -65,19 +67,19 @@
 		if overloaded(failure) {
 			busy = failure
 		}
-		r.passOver(c, failure, answer.Position, tried)
+		r.excludeTarget(c, failure, answer.Position, tried)
 	}
-	return statement.Fail(refuse(last), r.state())
+	return statement.Fail(withRetryAfter(last), r.state())
 }
 
-// ageLacksForLong reports whether no age could be shown for long and none is in sight. With a right for
-// the primary the request first asks for a position itself: where requests come seldom, the last one that
-// lacked it may be of an outage long over.
-func (r *request) ageLacksForLong(failure *result.Error) bool {
+// ageMissingForLong reports whether the age of the data has been unknown for longer than longOutage and is
+// not expected to become known. With a right for the primary the request first asks for a position itself:
+// where requests are rare, the last one that could not show an age may date from an outage that has ended.
+func (r *request) ageMissingForLong(failure *result.Error) bool {
 	if failure.Code != result.AgeNotShown {
 		return false
 	}
-	if !r.server.router.lacks(r.class.Group, needAge) {
+	if !r.server.router.recordMissing(r.class.Group, needAge) {
 		return false
 	}
 	_, held := r.server.Rights.Right(r.class.Group)
@@ -86,25 +88,25 @@
 	return asked || !held
 }
 
-// hopelessShare of its class's objective is how long a request tries to get in at targets
-// that refuse for their load. It answers the load that lasts and exceeds what they can do: they
-// serve as many whatever the requests' age, so those that go on trying take the place of ones
-// that would still be answered in time. One that gets in waits about as long again in the
-// target's own queue.
-const hopelessShare = 0.5
+// maxWaitShare is the share of its class's objective during which a request is retried at
+// targets that refuse it because of their load. It is meant for a lasting overload: targets
+// serve the same number of requests whatever their age, so requests that go on retrying
+// displace others that would still be answered in time. A request that is accepted waits
+// about as long again in the target's own queue.
+const maxWaitShare = 0.5
 
-// hopeless reports whether the request has tried for too long to be answered in time.
-func (r *request) hopeless() bool {
-	return r.class.Objective > 0 && r.patience() == 0
+// maxWaitOver reports whether the request has been retried for too long to meet its class's objective.
+func (r *request) maxWaitOver() bool {
+	return r.class.Objective > 0 && r.maxWait() == 0
 }
 
-// patience is for how long the request may still try, or wait, to be answered in time.
-func (r *request) patience() time.Duration {
-	patience := time.Duration(hopelessShare * float64(r.class.Objective))
-	return max(0, patience-r.server.Clock.Now().Sub(r.begun))
+// maxWait returns for how long the request may still be retried, or wait, to meet its class's objective.
+func (r *request) maxWait() time.Duration {
+	maxWait := time.Duration(maxWaitShare * float64(r.class.Objective))
+	return max(0, maxWait-r.server.Clock.Now().Sub(r.begun))
 }
 
-// overloaded reports whether a target had no time for the request.
+// overloaded reports whether a target refused the request because of its load.
 func overloaded(e *result.Error) bool {
 	switch e.Code {
 	case result.QueueFull, result.DeadlineInQueue, result.TargetBusy:
@@ -113,17 +115,17 @@
 	return false
 }
 
-// passOver keeps a target that failed from being tried again, unless it is a replica that lags
-// and is expected to hold what it must soon: then it or the primary is next, whichever is sooner.
-func (r *request) passOver(c choice, failure *result.Error, holds position.Position, tried map[topology.TargetID]bool) {
-	if failure.Code == result.ReplicaBehind && r.server.router.lags(r.class.Group, c, holds) > 0 {
-		r.pause(behindPause)
+// excludeTarget excludes a target that failed from further attempts, unless it is a replica that lags and
+// is expected to catch up: then the next attempt goes to it or to the primary, whichever is sooner.
+func (r *request) excludeTarget(c choice, failure *result.Error, holds position.Position, tried map[topology.TargetID]bool) {
+	if failure.Code == result.ReplicaBehind && r.server.router.recordReplicaBehind(r.class.Group, c, holds) > 0 {
+		r.pause(replicaBehindPause)
 		return
 	}
 	tried[c.pool.Target().ID] = true
 }
 
-// beforeNextRead waits for what a read lacked: a position of the primary, or targets
+// beforeNextRead waits for what the read needs: a position of the primary, or targets
 // that were tried and may serve again.
 func (r *request) beforeNextRead(failure *result.Error, tried map[topology.TargetID]bool) {
 	if failure.Code == result.AgeNotShown {
@@ -137,19 +139,19 @@
 
 func (r *request) pause(d time.Duration) { wait.For(r.ctx, d) }
 
-// readAt runs the read at one target. The target itself refuses it if its log lacks
-// the floor.
+// readAt runs the read at one target. The target itself refuses it if its log has not
+// reached the floor.
 func (r *request) readAt(c choice) (statement.Answer, *result.Error) {
 	t := c.pool.Target()
-	r.note(t.ID)
+	r.recordTarget(t.ID)
 	link, failure := r.acquire(c.pool)
 	if failure != nil {
 		return statement.Answer{}, failure
 	}
 	defer link.Release()
-	answer, err := r.run(link, c.floor, yields)
+	answer, err := r.run(link, c.floor, returnRefusal)
 	if err != nil {
-		return answer, r.lost(t.ID, err)
+		return answer, r.connectionFailure(t.ID, err)
 	}
 	if answer.Failure != nil {
 		return answer, answer.Failure
@@ -159,31 +161,31 @@
 	return answer, nil
 }
 
-// persistence says what follows when a target refuses a statement for its load.
-type persistence bool
+// overloadPolicy is what to do when a target refuses a statement because of its load.
+type overloadPolicy bool
 
 const (
-	// insists: the statement is sent again on the same connection.
-	insists persistence = true
-	// yields: the refusal is the answer.
-	yields persistence = false
+	// retryInPlace sends the statement again on the same connection.
+	retryInPlace overloadPolicy = true
+	// returnRefusal returns the refusal as the answer.
+	returnRefusal overloadPolicy = false
 )
 
-// run sends the statement over a connection that has the session's values.
-func (r *request) run(link *target.Link, after position.Position, p persistence) (statement.Answer, error) {
-	wall := r.wall()
-	if err := link.Adapt(wall, r.context.Values()); err != nil {
+// run sends the statement over a connection after setting the session's values on it.
+func (r *request) run(link *target.Link, after position.Position, p overloadPolicy) (statement.Answer, error) {
+	wallDeadline := r.wallDeadline()
+	if err := link.Adapt(wallDeadline, r.context.Values()); err != nil {
 		return statement.Answer{}, notSent{err}
 	}
-	cmd := target.Command{Kind: target.Caller, ID: r.st.ID, Text: r.st.Text, After: after, Insist: p == insists}
+	cmd := target.Command{Kind: target.Caller, ID: r.st.ID, Text: r.st.Text, After: after, Insist: p == retryInPlace}
 	if r.st.Kind == statement.Execute {
-		name, err := link.Ensure(wall, r.prepared)
+		name, err := link.Ensure(wallDeadline, r.prepared)
 		if err != nil {
 			return statement.Answer{}, notSent{err}
 		}
 		cmd.Kind, cmd.Name, cmd.Value = target.Execute, name, r.st.Arguments
 	}
-	return link.Run(wall, cmd)
+	return link.Run(wallDeadline, cmd)
 }
 
 // notSent is a failure before the caller's statement was sent: it has not run.
@@ -191,13 +193,14 @@
 
 func (e notSent) Unwrap() error { return e.error }
 
-// refuse makes sure that a failure says when to come back, and is a refusal.
-func refuse(e *result.Error) *result.Error {
+// withRetryAfter returns the failure, with a time to retry after if nothing has run. Without a
+// failure it returns DeadlineInQueue.
+func withRetryAfter(e *result.Error) *result.Error {
 	if e == nil {
-		return result.New(result.DeadlineInQueue, "no target in time").After(comeBack)
+		return result.New(result.DeadlineInQueue, "no target in time").After(defaultRetryAfter)
 	}
 	if e.Ran == result.NotRun && e.RetryAfter == 0 {
-		return e.After(comeBack)
+		return e.After(defaultRetryAfter)
 	}
 	return e
 }
--- a/internal/gateway/router.go
+++ b/internal/gateway/router.go
@@ -18,36 +18,37 @@
 )
 
 const (
-	// sampleAge and sampleResolution of the primaries' positions: the age covers
-	// the greatest staleness that classes use.
+	// sampleAge and sampleResolution are the maximum age and the resolution of the
+	// samples of the primaries' positions. The age covers the greatest staleness that
+	// classes use.
 	sampleAge        = 10 * time.Second
 	sampleResolution = 50 * time.Millisecond
-	// refreshShare: a position older than this share of a read's staleness is
+	// refreshShare is the share of a read's staleness from which on a position is
 	// renewed ahead of need.
 	refreshShare = 0.6
-	// usualService is the average time of a statement in a slot, before any was
-	// measured.
-	usualService = 9 * time.Millisecond
+	// defaultServiceTime is the average time that a statement occupies a slot, assumed as
+	// long as none was measured.
+	defaultServiceTime = 9 * time.Millisecond
 	// suspectAfter is how long a target may fail before reads avoid it.
 	suspectAfter = 50 * time.Millisecond
 	// sampleTimeout bounds one request for a position.
 	sampleTimeout = 300 * time.Millisecond
 )
 
-// Rights tells whether this VM may acknowledge for a group's primary.
+// Rights provides the rights of this VM to acknowledge for the groups' primaries.
 type Rights interface {
 	Await(ctx context.Context, group topology.GroupID) (lease.Right, bool)
 	Right(group topology.GroupID) (lease.Right, bool)
 	Confirm(r lease.Right) bool
 	Row(group topology.GroupID) *lease.Row
-	// CutOff reports whether no right can be had, with no end in sight.
+	// CutOff reports whether this VM can get no right, with no foreseeable end.
 	CutOff() bool
-	// Frozen returns the end of the group's log while nothing can be acknowledged,
-	// and when that was last known.
+	// Frozen returns the end of the group's log and when it was last known to be the
+	// end, while nothing can be acknowledged in the group.
 	Frozen(group topology.GroupID) (position.Position, mono.Time, bool)
 }
 
-// router chooses targets. Safe for concurrent use.
+// router chooses the targets of requests. Safe for concurrent use.
 type router struct {
 	directory *directory.Directory
 	pools     *target.Pools
@@ -59,11 +60,12 @@
 	groups map[topology.GroupID]*groupView
 }
 
-// groupView is what is known of a group's log.
+// groupView is what this VM knows of a group's log and outages.
 type groupView struct {
-	fresh   *routing.Freshness
-	outages [needs]outage
-	// sampling is closed when the request for a position under way has ended.
+	freshness *routing.Freshness
+	outages   [needCount]outage
+	// sampling is closed when the pending request for a position ends; nil if none is
+	// pending.
 	sampling chan struct{}
 }
 
@@ -75,35 +77,36 @@
 	}
 }
 
-// view returns the group's view by its newest row.
+// view returns the group's view, updated from the group's newest row. The caller holds mu.
 func (r *router) view(group topology.GroupID) *groupView {
 	g := r.groups[group]
 	if g == nil {
-		g = &groupView{fresh: routing.NewFreshness(sampleAge, sampleResolution)}
+		g = &groupView{freshness: routing.NewFreshness(sampleAge, sampleResolution)}
 		r.groups[group] = g
 	}
 	if row := r.rights.Row(group); row != nil {
-		g.fresh.SetGroup(row.Topology())
+		g.freshness.SetGroup(row.Topology())
 	}
-	// While a primary is replaced nobody can be asked for the newest position, and
-	// reads of a stated age would be refused; but it is known not to move.
+	// While a primary is being replaced, no target can be asked for the newest position,
+	// and reads with a bounded staleness would be refused. But the position is known not
+	// to change.
 	if end, at, ok := r.rights.Frozen(group); ok {
-		g.fresh.AddSample(routing.Sample{Begun: at, Position: end})
+		g.freshness.AddSample(routing.Sample{Begun: at, Position: end})
 	}
 	return g
 }
 
-// choice is where a read goes, what the target must hold, and in how long it is expected to.
+// choice is the target of a read, the position that it must hold, and the time until it is expected to
+// hold it.
 type choice struct {
 	pool    *target.Pool
 	floor   position.Position
 	catchUp time.Duration
 }
 
-// chooseRead picks the target of a read that a replica may serve. tried targets are
-// passed over, and a replica that is behind is chosen if it is expected to have caught up within
-// patience.
-func (r *router) chooseRead(c *directory.Class, floor position.Position, patience time.Duration, tried map[topology.TargetID]bool) (choice, *result.Error) {
+// chooseRead chooses the target of a read that a replica may serve. Targets in tried are
+// excluded. A replica that is behind may be chosen if it is expected to catch up within maxWait.
+func (r *router) chooseRead(c *directory.Class, floor position.Position, maxWait time.Duration, tried map[topology.TargetID]bool) (choice, *result.Error) {
 	targets := r.directory.TargetsOf(c.Group)
 	var primary topology.TargetID
 	if row := r.rights.Row(c.Group); row != nil {
@@ -119,24 +122,24 @@
 			candidates = append(candidates, r.candidate(&targets[i], primary))
 		}
 	}
-	req := routing.Request{Staleness: c.Staleness, Floor: floor, Patience: patience}
+	req := routing.Request{Staleness: c.Staleness, Floor: floor, Patience: maxWait}
 	r.refresh(g, c, now)
-	why, err := routing.Choose(now, req, g.fresh, candidates, r.random)
-	if err != nil && len(tried) == 0 && allLeave(targets) {
+	decision, err := routing.Choose(now, req, g.freshness, candidates, r.random)
+	if err != nil && len(tried) == 0 && allLeaving(targets) {
 		return choice{}, result.New(result.TargetLeaving, "all targets of %s leave", c.Group)
 	}
 	if err != nil {
 		return choice{}, result.From(err)
 	}
-	if _, shown := g.fresh.AgeFloor(c.Staleness, now); !shown {
+	if _, shown := g.freshness.AgeFloor(c.Staleness, now); !shown {
 		return choice{}, result.New(result.AgeNotShown, "%s", c.Group).After(routing.RetryNoTarget)
 	}
-	pool, ok := r.pools.Get(why.Chosen)
+	pool, ok := r.pools.Get(decision.Chosen)
 	if !ok {
-		return choice{}, result.New(result.TargetUnreachable, "%s has just come or gone", why.Chosen).After(routing.RetryNoTarget)
+		return choice{}, result.New(result.TargetUnreachable, "%s has just come or gone", decision.Chosen).After(routing.RetryNoTarget)
 	}
-	g.outages[needTarget].over()
-	return choice{pool: pool, floor: why.Floor, catchUp: min(patience, why.CatchUp)}, nil
+	g.outages[needTarget].found()
+	return choice{pool: pool, floor: decision.Floor, catchUp: min(maxWait, decision.CatchUp)}, nil
 }
 
 func (r *router) candidate(t *directory.Target, primary topology.TargetID) routing.Candidate {
@@ -144,7 +147,7 @@
 		Target:  t.ID,
 		Primary: t.ID == primary,
 		SameDC:  t.DataCentre == r.directory.Self().DataCentre,
-		Service: usualService,
+		Service: defaultServiceTime,
 		Slots:   t.Slots,
 	}
 	load, ok := r.pools.Load(t.ID)
@@ -154,21 +157,22 @@
 	case t.Leaving && (!c.Primary || load.Left):
 		c.State = routing.Leaving
 	case t.Leaving, load.FailingFor > suspectAfter:
-		c.State = routing.Suspect // A primary that leaves serves what no replica can.
+		c.State = routing.Suspect // A leaving primary still serves what no replica can.
 	}
 	c.Latency, c.InFlight = load.Latency+load.Queue, load.Busy
 	return c
 }
 
-// refresh renews the primary's position ahead of need, off the path of reads.
+// refresh requests the primary's position in the background before reads need it.
 func (r *router) refresh(g *groupView, c *directory.Class, now mono.Time) {
-	early := time.Duration(refreshShare * float64(c.Staleness))
-	if _, shown := g.fresh.AgeFloor(early, now); !shown && g.sampling == nil {
+	refreshAge := time.Duration(refreshShare * float64(c.Staleness))
+	if _, shown := g.freshness.AgeFloor(refreshAge, now); !shown && g.sampling == nil {
 		r.startSample(g, c.Group)
 	}
 }
 
-// startSample asks the primary for its position; one request a group at a time.
+// startSample requests the primary's position in the background. The caller holds mu, and ensures that
+// there is one request per group at a time.
 func (r *router) startSample(g *groupView, group topology.GroupID) {
 	done := make(chan struct{})
 	g.sampling = done
@@ -185,7 +189,7 @@
 	}()
 }
 
-// awaitSample waits for a position that is asked for now or was just before.
+// awaitSample waits for the pending request for a position, and starts one if there is none.
 func (r *router) awaitSample(ctx context.Context, group topology.GroupID) {
 	r.mu.Lock()
 	g := r.view(group)
@@ -226,38 +230,39 @@
 func (r *router) newest(group topology.GroupID) position.Position {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.view(group).fresh.Newest()
+	return r.view(group).freshness.Newest()
 }
 
-// learnPrimary notes the primary's newest position, from an answer to a statement
-// sent at begun under a right that still stands.
+// learnPrimary records the primary's newest position, from the answer to a statement
+// that was sent at begun under a right that is still valid.
 func (r *router) learnPrimary(right lease.Right, begun mono.Time, p position.Position) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	g := r.view(right.Group)
-	g.fresh.AddSample(routing.Sample{Begun: begun, Position: p})
-	g.fresh.Learn(right.Primary, p, r.clock.Now())
+	g.freshness.AddSample(routing.Sample{Begun: begun, Position: p})
+	g.freshness.Learn(right.Primary, p, r.clock.Now())
 }
 
-// learn notes what a target holds.
+// learn records the position that a target holds.
 func (r *router) learn(group topology.GroupID, id topology.TargetID, p position.Position) {
 	if p.IsZero() {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.view(group).fresh.Learn(id, p, r.clock.Now())
+	r.view(group).freshness.Learn(id, p, r.clock.Now())
 }
 
-// lags notes that a target refused a floor since it lags, and what it holds; zero: not known. It
-// returns in how long the target is expected to hold the floor; 0: nothing tells.
-func (r *router) lags(group topology.GroupID, c choice, holds position.Position) time.Duration {
+// recordReplicaBehind records that a target refused a read because it has not reached the floor, and the position that
+// it holds, which is zero if unknown. It returns the time until the target is expected to reach the
+// floor, or 0 if that is unknown.
+func (r *router) recordReplicaBehind(group topology.GroupID, c choice, holds position.Position) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	fresh, now, id := r.view(group).fresh, r.clock.Now(), c.pool.Target().ID
+	freshness, now, id := r.view(group).freshness, r.clock.Now(), c.pool.Target().ID
 	if !holds.IsZero() {
-		fresh.Learn(id, holds, now)
+		freshness.Learn(id, holds, now)
 	}
-	fresh.Refused(id, now)
-	return fresh.CatchUp(id, c.floor, now)
+	freshness.Refused(id, now)
+	return freshness.CatchUp(id, c.floor, now)
 }
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -1,5 +1,6 @@
 // Package gateway serves callers' sessions with typed statements: it routes each
-// one, keeps transactions on their connection, and says truly what has run.
+// statement, keeps each transaction on one connection, and reports accurately what
+// has run.
 package gateway
 
 import (
@@ -22,48 +23,49 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Caller is a caller's connection as its protocol's codec offers it.
+// Caller is a caller's connection, decoded by the codec of its protocol.
 type Caller interface {
-	// Open reads what the caller asks for.
+	// Open reads the caller's request to open a session.
 	Open() (Opening, error)
 	Welcome() error
 	Refuse(e *result.Error) error
-	// Next reads the next statement; a result refuses it and the session goes on.
-	// After a timeout a message that has come in part is kept.
+	// Next reads the next statement. If it returns a result.Error, the statement is
+	// refused and the session continues. A message that was received in part is kept
+	// after a timeout.
 	Next() (*statement.Statement, *result.Error, error)
-	// Begun reports whether a message has come in part or whole.
+	// Begun reports whether a message has been received in part or whole.
 	Begun() bool
 	Answer(a statement.Answer) error
 }
 
-// Opening is what a caller opens a session with.
+// Opening is a caller's request to open a session.
 type Opening struct {
 	Database string
-	// Key of a customer; the zero value: none.
+	// Key is the key of a customer; the zero value if the caller gave none.
 	Key customer.Key
 }
 
 // Limits decide whether an operation of a customer may begin.
 type Limits interface {
 	Admit(id topology.CustomerID) *result.Error
-	// Return gives an operation back that was admitted and has not run.
+	// Return undoes the admission of an operation that has not run.
 	Return(id topology.CustomerID)
 }
 
-// Options of NewServer.
+// Options are the options of NewServer.
 type Options struct {
 	Directory *directory.Directory
 	Pools     *target.Pools
 	Rights    Rights
-	// Limits of customers; nil: there are none.
+	// Limits are the limits of customers; nil if there are none.
 	Limits  Limits
 	Codec   func(net.Conn) Caller
 	Clock   mono.Clock
 	Log     *slog.Logger
 	Metrics *metrics.Entry
-	// Customers counts by customer; nil: nothing is counted.
+	// Customers counts requests and sessions by customer; nil to count nothing.
 	Customers *metrics.Customers
-	// MaxSessions bounds the open sessions.
+	// MaxSessions is the maximum number of open sessions.
 	MaxSessions int
 }
 
@@ -71,27 +73,28 @@
 type Server struct {
 	Options
 	router *router
+	// number is the number of the newest session.
 	number atomic.Uint64
 
 	mu       sync.Mutex
 	sessions map[*session]bool
-	// plan is set when the daemon leaves, and shed while it sends its sessions away.
+	// plan is set when the daemon leaves, and shed while it sheds its sessions.
 	plan *LeavePlan
 	shed *LeavePlan
 	done sync.WaitGroup
 }
 
-// LeavePlan says how the open sessions end when the daemon leaves.
+// LeavePlan sets when the open sessions end as the daemon leaves.
 type LeavePlan struct {
-	// Idle: from then on sessions without a request or transaction are closed.
+	// Idle is the time from which sessions without a request or transaction are closed.
 	Idle time.Time
-	// Transactions still open then are rolled back.
+	// Transactions is the time at which transactions that are still open are rolled back.
 	Transactions time.Time
-	// All: from then on no request is taken; those under way are answered.
+	// All is the time from which no request is accepted; those under way are answered.
 	All time.Time
 }
 
-// NewServer makes a server.
+// NewServer returns a server with the given options.
 func NewServer(o Options) *Server {
 	return &Server{
 		Options:  o,
@@ -100,12 +103,12 @@
 	}
 }
 
-// acceptRetry after a failure such as too many open files.
-const acceptRetry = 20 * time.Millisecond
+// acceptRetryPause is the pause after a failure to accept, such as too many open files.
+const acceptRetryPause = 20 * time.Millisecond
 
 // Serve accepts sessions until the listener is closed.
 func (s *Server) Serve(ctx context.Context, l net.Listener) {
-	go s.endRevoked(ctx)
+	go s.closeRevoked(ctx)
 	for {
 		nc, err := l.Accept()
 		if ctx.Err() != nil {
@@ -113,7 +116,7 @@
 		}
 		if err != nil {
 			s.Log.Warn("event=accept_failed", "error", err)
-			time.Sleep(acceptRetry)
+			time.Sleep(acceptRetryPause)
 			continue
 		}
 		s.done.Add(1)
@@ -157,7 +160,7 @@
 
 // awaitConfiguration waits for the first configuration, and reports whether there is one.
 //
-// Without one, callers of a VM that has just started would be told that their database does not exist.
+// Without this wait, callers of a VM that has just started would get the answer that their database does not exist.
 func (s *Server) awaitConfiguration() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), configurationWait)
 	defer cancel()
@@ -216,7 +219,7 @@
 	}
 	s.mu.Unlock()
 	for _, sess := range open {
-		sess.wake()
+		sess.interrupt()
 	}
 }
 
@@ -230,17 +233,17 @@
 }
 
 const (
-	// shedSpread is over how long sessions are sent away: all at once, a thousand callers
-	// would open sessions at the other VMs in the same moment.
-	shedSpread = 500 * time.Millisecond
-	// noEnd is far enough in the future for a plan without an end.
+	// shedDuration is the time over which shed sessions are closed. If they were closed at once,
+	// a thousand callers would open sessions at the other VMs at the same moment.
+	shedDuration = 500 * time.Millisecond
+	// noEnd is the time until the end of a plan that has none, long enough never to pass.
 	noEnd = 24 * time.Hour
 )
 
-// Shed closes sessions between two requests, until Keep is called. New ones are taken, and
-// closed after their first answer. It answers a VM that can serve nobody for a while and
-// that the balancer has taken out of rotation: an open session stays with its VM, and each
-// of its requests would be refused for as long as the VM is cut off.
+// Shed closes sessions between two requests, until Keep is called. New sessions are accepted,
+// and closed after their first answer. It is meant for a VM that can serve no requests for a
+// while and that the balancer has taken out of rotation: an open session stays at its VM, and
+// each of its requests would be refused for as long as the VM is cut off.
 func (s *Server) Shed() {
 	now := time.Now()
 	s.mu.Lock()
@@ -256,8 +259,8 @@
 	s.mu.Unlock()
 	s.Log.Info("event=sessions_shed", "sessions", len(open))
 	for _, sess := range open {
-		sess.wake()
-		time.Sleep(shedSpread / time.Duration(len(open)))
+		sess.interrupt()
+		time.Sleep(shedDuration / time.Duration(len(open)))
 	}
 }
 
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -23,15 +23,16 @@
 	// lingerTime is how long a session that was closed is still read from: closing with
 	// unread bytes would reset the connection, and the caller might lose its last answer.
 	lingerTime = 200 * time.Millisecond
-	// lastLook is how long a session is read from before it is closed: a read whose deadline
-	// has passed returns nothing, although a request may have come.
-	lastLook = 20 * time.Millisecond
-	// lingerBuffer takes a request of the usual size, in bytes.
+	// finalReadTime is how long a session is read from before it is closed: a read whose deadline
+	// has passed returns nothing, even if a request has arrived.
+	finalReadTime = 20 * time.Millisecond
+	// lingerBuffer is the size in bytes of the buffer that a closed session is read into. A request
+	// of the usual size fits.
 	lingerBuffer = 4096
 )
 
-// session is one caller's session. Only its own goroutine uses it, but for what is
-// below mu.
+// session is one caller's session. Only its own goroutine uses it, except for the
+// fields below mu.
 type session struct {
 	server   *Server
 	conn     net.Conn
@@ -39,22 +40,23 @@
 	database string
 	key      customer.Key
 	number   uint64
-	// ended counts its end.
+	// ended records the end of the session in the customer's metrics.
 	ended   func()
 	context statement.Context
 	floors  floors.Floors
 	tx      *transaction
-	served  bool
-	// lastServed: a request has been waited for after the last one was to be taken.
-	lastServed bool
+	// served is set once the session has answered a statement.
+	served bool
+	// finalReadDone is set once the session has waited for a request after LeavePlan.All.
+	finalReadDone bool
 
-	mu     sync.Mutex
-	asleep bool // waits for the caller
+	mu      sync.Mutex
+	waiting bool // is waiting for the caller
 }
 
-// run serves statements until the caller goes or the daemon leaves.
+// run serves statements until the caller disconnects or the daemon leaves.
 func (s *session) run() {
-	defer s.abandon()
+	defer s.rollBack()
 	for {
 		st, failure, err := s.next()
 		if errors.Is(err, errLeaving) {
@@ -78,53 +80,55 @@
 	}
 }
 
-// errLeaving ends a session of a daemon that leaves.
+// errLeaving ends a session whose daemon leaves or whose key has been revoked.
 var errLeaving = errors.New("gateway: leaving")
 
-// next waits for a statement. It ends transactions that rest too long, and the session
-// when the daemon leaves.
+// next waits for a statement. It aborts a transaction that is idle for too long, and returns
+// errLeaving when the session is to end.
 func (s *session) next() (*statement.Statement, *result.Error, error) {
-	rest, looked := time.Now(), false
+	idleSince, finalRead := time.Now(), false
 	for {
-		until, err := s.deadline(rest)
-		if errors.Is(err, errLeaving) && !looked && !s.overdue() {
-			looked = true
-			until, err = time.Now().Add(lastLook), nil
+		until, err := s.deadline(idleSince)
+		if errors.Is(err, errLeaving) && !finalRead && !s.finalReadUsed() {
+			finalRead = true
+			until, err = time.Now().Add(finalReadTime), nil
 		}
 		if err != nil {
 			return nil, nil, err
 		}
-		if err := s.sleep(until); err != nil {
+		if err := s.startWait(until); err != nil {
 			return nil, nil, err
 		}
 		st, failure, err := s.caller.Next()
-		s.awake()
+		s.endWait()
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return st, failure, err
 		}
 	}
 }
 
-// overdue reports whether the session has had its last look. A caller whose requests follow each
-// other closely would otherwise keep its session open for good.
-func (s *session) overdue() bool {
+// finalReadUsed reports whether the session has already been read from after LeavePlan.All, and counts this
+// call as that read. Without this limit a caller whose requests follow each other closely would keep its
+// session open forever.
+func (s *session) finalReadUsed() bool {
 	plan := s.server.leaving()
 	if plan == nil || time.Now().Before(plan.All) {
 		return false
 	}
-	was := s.lastServed
-	s.lastServed = true
+	was := s.finalReadDone
+	s.finalReadDone = true
 	return was
 }
 
-// deadline returns until when the session may wait for its caller; zero: for good.
-func (s *session) deadline(rest time.Time) (time.Time, error) {
+// deadline returns until when the session may wait for its caller; zero if there is no limit. It aborts a
+// transaction that has been idle for too long.
+func (s *session) deadline(idleSince time.Time) (time.Time, error) {
 	now := time.Now()
 	plan := s.server.leaving()
 	if s.tx == nil || s.tx.failure != nil {
 		return s.idleDeadline(plan, now)
 	}
-	end := rest.Add(s.idleLimit())
+	end := idleSince.Add(s.idleLimit())
 	if plan != nil && plan.Transactions.Before(end) {
 		end = plan.Transactions
 	}
@@ -143,7 +147,7 @@
 	switch {
 	case s.tx == nil && s.revoked():
 		if s.caller.Begun() {
-			return now.Add(lastLook), nil
+			return now.Add(finalReadTime), nil
 		}
 		return time.Time{}, errLeaving
 	case plan == nil:
@@ -167,57 +171,57 @@
 	return c.IdleTransaction
 }
 
-func (s *session) sleep(until time.Time) error {
+func (s *session) startWait(until time.Time) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asleep = true
+	s.waiting = true
 	return s.conn.SetReadDeadline(until)
 }
 
-func (s *session) awake() {
+func (s *session) endWait() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asleep = false
+	s.waiting = false
 }
 
-// wake has a session that waits for its caller look at the leave plan.
-func (s *session) wake() {
+// interrupt makes a session that waits for its caller check whether it is to end.
+func (s *session) interrupt() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.asleep {
+	if s.waiting {
 		_ = s.conn.SetReadDeadline(time.Now())
 	}
 }
 
-// linger closes the connection in order.
+// linger closes the sending side of the connection, and reads for a while before the rest is closed.
 func (s *session) linger() {
-	half, ok := s.conn.(interface{ CloseWrite() error })
-	if !ok || half.CloseWrite() != nil {
+	halfCloser, ok := s.conn.(interface{ CloseWrite() error })
+	if !ok || halfCloser.CloseWrite() != nil {
 		return
 	}
 	_ = s.conn.SetReadDeadline(time.Now().Add(lingerTime))
-	_, _ = s.conn.Read(make([]byte, lingerBuffer)) // What comes now was sent to a closed session, whose caller is told at once.
+	_, _ = s.conn.Read(make([]byte, lingerBuffer)) // What arrives now was sent to a closed session; the caller notices at once.
 }
 
-// request is one statement on its way.
+// request is one statement that is being served.
 type request struct {
 	*session
 	st    *statement.Statement
 	class directory.Class
-	// customer whose session it is; "": none's.
+	// customer is the session's customer; "" if there is none.
 	customer topology.CustomerID
-	// prepared is what Execute names.
+	// prepared is the prepared statement that an Execute names.
 	prepared statement.Prepared
 	writes   bool
 	begun    mono.Time
 	// deadline is when the caller is answered at the latest.
 	deadline mono.Time
 	ctx      context.Context
-	targets  int
+	attempts int
 	target   topology.TargetID
-	// askedPosition: it has waited for a position of the primary.
+	// askedPosition is set once the request has asked for a position of the primary itself.
 	askedPosition bool
-	// waited is how long it waited for connections to targets.
+	// waited is how long the request has waited for connections to targets.
 	waited time.Duration
 }
 
@@ -238,7 +242,7 @@
 	case statement.Begin, statement.BeginReadOnly:
 		return s.begin(st)
 	case statement.Rollback:
-		s.abandon()
+		s.rollBack()
 		return statement.Done(statement.Idle)
 	case statement.Commit:
 		if s.tx == nil {
@@ -248,7 +252,8 @@
 	return s.serveData(st)
 }
 
-// serveFailed answers in a transaction that failed: only its end is served.
+// serveFailed answers a statement in a transaction that has failed, in which only a commit or
+// rollback is served.
 func (s *session) serveFailed(st *statement.Statement) statement.Answer {
 	why := s.tx.failure
 	switch st.Kind {
@@ -262,8 +267,8 @@
 		}
 		return statement.Fail(result.New(result.TransactionAborted, "an earlier statement failed"), statement.Idle)
 	}
-	if s.tx.untold {
-		s.tx.untold = false
+	if s.tx.unreported {
+		s.tx.unreported = false
 		return statement.Fail(why, statement.Failed)
 	}
 	return statement.Fail(result.New(result.TransactionFailed, "it can only be ended"), statement.Failed)
@@ -288,7 +293,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), r.deadline.Sub(r.begun))
 	defer cancel()
 	r.ctx = ctx
-	alone := s.tx == nil
+	single := s.tx == nil
 	var answer statement.Answer
 	switch {
 	case s.tx != nil:
@@ -298,8 +303,8 @@
 	default:
 		answer = r.atPrimary()
 	}
-	if alone && answer.Failure != nil && answer.Failure.Ran == result.NotRun {
-		r.notBegun()
+	if single && answer.Failure != nil && answer.Failure.Ran == result.NotRun {
+		r.returnOperation()
 	}
 	r.log(answer)
 	return answer
@@ -327,21 +332,22 @@
 	return r, nil
 }
 
-// wall returns the deadline as the connections take it.
-func (r *request) wall() time.Time {
+// wallDeadline returns the deadline as wall-clock time, which connections use.
+func (r *request) wallDeadline() time.Time {
 	return time.Now().Add(r.deadline.Sub(r.server.Clock.Now()))
 }
 
-// sendReserve is what is left of a statement's time at least when it is sent: about as long as
-// a target takes whose queue is full. A statement that is sent with less is worked on for nobody.
+// sendReserve is the minimum time that a statement has left when it is sent: about as long as a
+// target whose queue is full takes. With less, the answer would come too late for the caller, and
+// the target's work would be wasted.
 const sendReserve = 100 * time.Millisecond
 
 // sendBy returns until when the statement may wait for a connection.
 func (r *request) sendBy() mono.Time { return r.deadline.Add(-sendReserve) }
 
-// useful returns when the request is to be answered to be within its class's objective. A
-// transaction's objective covers all its statements and began with the first.
-func (r *request) useful() mono.Time {
+// objectiveDeadline returns the time by which the request must be answered to meet its class's objective. A
+// transaction's objective covers all its statements and starts with the first.
+func (r *request) objectiveDeadline() mono.Time {
 	if r.class.Objective <= 0 {
 		return r.sendBy()
 	}
@@ -351,27 +357,28 @@
 // acquire waits for a connection to a target.
 func (r *request) acquire(pool *target.Pool) (*target.Link, *result.Error) {
 	begun := r.server.Clock.Now()
-	turn := waitlist.Request{Priority: r.class.Priority, Useful: r.useful(), Deadline: r.sendBy(), Customer: r.customer}
-	link, failure := pool.Acquire(r.ctx, turn, r.context.Values())
+	req := waitlist.Request{Priority: r.class.Priority, Useful: r.objectiveDeadline(), Deadline: r.sendBy(), Customer: r.customer}
+	link, failure := pool.Acquire(r.ctx, req, r.context.Values())
 	r.waited += r.server.Clock.Now().Sub(begun)
 	return link, failure
 }
 
-// left reports whether a further attempt, which takes about the given time, can still
-// end in time.
-func (r *request) left(attempt time.Duration) bool {
+// hasTimeFor reports whether a further attempt, which takes about the given time, can still
+// end before the deadline.
+func (r *request) hasTimeFor(attempt time.Duration) bool {
 	return r.server.Clock.Now().Add(attempt).Before(r.deadline)
 }
 
-// floor is what the reads of the session have to see.
-func (r *request) settledFloors() {
+// settleFloors adjusts the floors of the session's reads to the group's newest row, in
+// which a failover may have lost writes of the session.
+func (r *request) settleFloors() {
 	row := r.server.Rights.Row(r.class.Group)
 	if row == nil {
 		return
 	}
 	if err := r.floors.Settle(row.Topology()); err != nil {
-		// The caller was told of the failover by its own requests; what is lost is
-		// lost, and the session's reads go on from what survived.
+		// The caller has learned of the failover from its own requests. Lost writes can't
+		// be recovered; the session's reads continue from those that survived.
 		r.server.Log.Warn("event=write_lost", "session", r.number, "group", r.class.Group, "term", row.Term, "error", err)
 	}
 }
--- a/internal/gateway/shed_test.go
+++ b/internal/gateway/shed_test.go
@@ -9,37 +9,37 @@
 	"time"
 )
 
-// starvedConn is a connection of a process that is short of processor time: while it is held, a
-// deadline passes before the process has seen what came.
+// starvedConn simulates a connection of a process that is short of processor time: while it is held, a
+// read deadline passes before the process has read the bytes that have arrived.
 type starvedConn struct {
 	*net.TCPConn
-	came chan []byte
+	received chan []byte
 
 	mu       sync.Mutex
-	held     chan struct{} // closed: it is not held
+	held     chan struct{} // closed while the connection is not held
 	deadline *time.Timer
 	passed   chan struct{}
 }
 
 func newStarvedConn(nc *net.TCPConn) *starvedConn {
-	c := &starvedConn{TCPConn: nc, came: make(chan []byte, 16), passed: make(chan struct{}), held: make(chan struct{})}
+	c := &starvedConn{TCPConn: nc, received: make(chan []byte, 16), passed: make(chan struct{}), held: make(chan struct{})}
 	close(c.held)
 	go func() {
 		for {
 			b := make([]byte, 4096)
 			n, err := nc.Read(b)
 			if err != nil {
-				close(c.came)
+				close(c.received)
 				return
 			}
 			<-c.released()
-			c.came <- b[:n]
+			c.received <- b[:n]
 		}
 	}()
 	return c
 }
 
-// hold has what comes unseen until a deadline has passed.
+// hold withholds the bytes that arrive until a deadline has passed.
 func (c *starvedConn) hold() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,7 +67,7 @@
 	passed := c.passed
 	c.mu.Unlock()
 	select {
-	case data, ok := <-c.came:
+	case data, ok := <-c.received:
 		if !ok {
 			return 0, net.ErrClosed
 		}
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// starvedListener gives out starvedConns.
+// starvedListener accepts starvedConns.
 type starvedListener struct {
 	net.Listener
 	conns chan *starvedConn
@@ -133,8 +133,8 @@
 	return c, <-starving.conns
 }
 
-// Guards against a request without an answer: it came while its session was told to close.
-func TestARequestThatCameBeforeItsSessionClosedIsAnswered(t *testing.T) {
+// Guards against a request without an answer, which arrived just before its session was to be closed.
+func TestRequestReceivedBeforeSessionClosesIsAnswered(t *testing.T) {
 	f := start(t)
 	c, conn := f.starved("newest")
 	c.expect("write a 1", "I ok d")
@@ -143,12 +143,12 @@
 	if _, err := c.conn.Write([]byte("write a 2\n")); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(20 * time.Millisecond) // It has come.
+	time.Sleep(20 * time.Millisecond) // The request has arrived.
 	f.server.Shed()
-	if got := c.hear(); got != "I ok d" {
+	if got := c.readLine(); got != "I ok d" {
 		t.Fatalf("the request got %q", got)
 	}
-	if got := c.hear(); got != "closed" {
+	if got := c.readLine(); got != "closed" {
 		t.Fatalf("the session goes on with %q", got)
 	}
 }
--- a/internal/gateway/transaction.go
+++ b/internal/gateway/transaction.go
@@ -11,24 +11,24 @@
 )
 
 // transaction is a session's open transaction. It gets its connection with its first
-// statement, so that none is held through the caller's first pause.
+// statement, so that none is held while the caller pauses after the begin.
 type transaction struct {
 	class    directory.Class
 	customer topology.CustomerID
 	readOnly bool
 	// link is nil until the first statement.
-	link *target.Link
-	at   topology.TargetID
-	// right under which it runs at the primary; guarded: it is needed.
-	right   lease.Right
-	guarded bool
-	wrote   bool
-	// ran: a statement of it has succeeded.
+	link     *target.Link
+	targetID topology.TargetID
+	// right is the right under which it runs at the primary; needsRight is set if it needs one.
+	right      lease.Right
+	needsRight bool
+	wrote      bool
+	// ran is set once a statement of it has succeeded.
 	ran bool
-	// failure is set once it can only be ended; untold: the caller has not been
-	// told of it yet.
-	failure *result.Error
-	untold  bool
+	// failure is set once the transaction can only be ended; unreported is set while the
+	// failure has not been reported to the caller.
+	failure    *result.Error
+	unreported bool
 }
 
 func (s *session) begin(st *statement.Statement) statement.Answer {
@@ -43,8 +43,8 @@
 	return statement.Done(statement.Open)
 }
 
-// abandon ends the transaction without a commit.
-func (s *session) abandon() {
+// rollBack rolls back the open transaction, if there is one.
+func (s *session) rollBack() {
 	tx := s.tx
 	s.tx = nil
 	if tx != nil && tx.link != nil {
@@ -52,14 +52,14 @@
 	}
 }
 
-// abort ends the transaction between two statements; the caller hears of it with its
-// next one.
+// abort ends the transaction between two statements. The failure is reported with the
+// caller's next one.
 func (s *session) abort(why *result.Error) {
 	s.fail(why)
-	s.tx.untold = true
+	s.tx.unreported = true
 }
 
-// fail frees the transaction's connection, which rolls back.
+// fail sets the transaction's failure and releases its connection, which rolls it back.
 func (s *session) fail(why *result.Error) {
 	if s.tx.link != nil {
 		go s.tx.link.Release()
@@ -73,38 +73,38 @@
 	tx := r.tx
 	if tx.link == nil {
 		if failure := r.attach(); failure != nil {
-			r.notBegun()
-			return r.endFailed(refuse(failure))
+			r.returnOperation()
+			return r.endFailed(withRetryAfter(failure))
 		}
 	}
-	r.note(tx.at)
-	if tx.guarded && !r.server.Rights.Confirm(tx.right) {
-		return r.endFailed(aborted("the right for %s ended", tx.at))
+	r.recordTarget(tx.targetID)
+	if tx.needsRight && !r.server.Rights.Confirm(tx.right) {
+		return r.endFailed(aborted("the right for %s ended", tx.targetID))
 	}
 	tx.wrote = tx.wrote || r.writes
-	begun, held := r.server.Clock.Now(), r.server.router.newest(tx.class.Group)
-	answer, err := r.run(tx.link, position.Position{}, tx.persistence())
+	begun, heldBefore := r.server.Clock.Now(), r.server.router.newest(tx.class.Group)
+	answer, err := r.run(tx.link, position.Position{}, tx.overloadPolicy())
 	switch {
 	case err != nil:
-		return r.endFailed(r.lostInTransaction(err))
+		return r.endFailed(r.connectionFailureInTransaction(err))
 	case answer.Failure != nil:
 		return r.failedInTransaction(answer)
 	}
 	tx.ran = true
-	if tx.guarded && answer.Position.Less(held) {
-		return r.endFailed(r.lostLogInTransaction(answer.Position, held))
+	if tx.needsRight && answer.Position.Less(heldBefore) {
+		return r.endFailed(r.lostLogFailureInTransaction(answer.Position, heldBefore))
 	}
-	if tx.guarded && !r.server.Rights.Confirm(tx.right) {
+	if tx.needsRight && !r.server.Rights.Confirm(tx.right) {
 		if r.st.Kind == statement.Commit && tx.wrote {
-			return r.endFailed(result.New(result.OutcomeUnknown, "the right for %s ended while it committed", tx.at))
+			return r.endFailed(result.New(result.OutcomeUnknown, "the right for %s ended while it committed", tx.targetID))
 		}
 		if r.st.Kind != statement.Commit {
-			return r.endFailed(aborted("the right for %s ended", tx.at))
+			return r.endFailed(aborted("the right for %s ended", tx.targetID))
 		}
-	} else if tx.guarded {
+	} else if tx.needsRight {
 		r.server.router.learnPrimary(tx.right, begun, answer.Position)
 	} else {
-		r.server.router.learn(tx.class.Group, tx.at, answer.Position)
+		r.server.router.learn(tx.class.Group, tx.targetID, answer.Position)
 	}
 	if r.st.Kind == statement.Commit {
 		r.committed(answer.Position)
@@ -113,18 +113,19 @@
 	return answer
 }
 
-// lostLogInTransaction: nothing of the transaction is kept, unless its commit was sent.
-func (r *request) lostLogInTransaction(holds, held position.Position) *result.Error {
-	why := r.lostLog(r.tx.right, holds, held)
+// lostLogFailureInTransaction returns the failure of a transaction whose primary has lost its log. Nothing of the
+// transaction is kept, unless its commit was sent.
+func (r *request) lostLogFailureInTransaction(holds, heldBefore position.Position) *result.Error {
+	why := r.lostLogFailure(r.tx.right, holds, heldBefore)
 	if r.st.Kind == statement.Commit && r.tx.wrote {
-		return result.New(result.OutcomeUnknown, "%s holds less than it did", r.tx.at)
+		return result.New(result.OutcomeUnknown, "%s holds less than it did", r.tx.targetID)
 	}
 	return aborted("%s", why.Detail)
 }
 
-// persistence of the transaction's next statement. Refused after the first, it would waste
-// what the target has done for the transaction.
-func (tx *transaction) persistence() persistence { return persistence(tx.ran) }
+// overloadPolicy returns what to do when the target refuses the transaction's next statement. A refusal
+// after the first statement would waste the target's work for the transaction.
+func (tx *transaction) overloadPolicy() overloadPolicy { return overloadPolicy(tx.ran) }
 
 func (r *request) committed(p position.Position) {
 	tx := r.tx
@@ -139,7 +140,8 @@
 	return result.New(result.TransactionAborted, format, args...).After(retryPause)
 }
 
-// endFailed ends the transaction with a failure. A commit ends it for the caller, too.
+// endFailed ends the transaction with a failure. After a commit the caller, too, is no longer in a
+// transaction.
 func (r *request) endFailed(why *result.Error) statement.Answer {
 	r.fail(why)
 	if r.st.Kind == statement.Commit {
@@ -149,10 +151,10 @@
 	return statement.Fail(why, statement.Failed)
 }
 
-// lostInTransaction: a lost connection rolls the transaction back, unless its commit
-// was sent on it.
-func (r *request) lostInTransaction(err error) *result.Error {
-	why := r.lost(r.tx.at, err)
+// connectionFailureInTransaction returns the failure for an error on the transaction's connection. A
+// lost connection rolls the transaction back, unless its commit was sent on it.
+func (r *request) connectionFailureInTransaction(err error) *result.Error {
+	why := r.connectionFailure(r.tx.targetID, err)
 	if r.st.Kind == statement.Commit && r.tx.wrote && why.Ran != result.NotRun {
 		if why.Code == result.DeadlineExceeded {
 			return why
@@ -162,8 +164,8 @@
 	return aborted("%s", why.Detail)
 }
 
-// failedInTransaction passes a target's refusal on. The transaction goes on where the
-// target lets it.
+// failedInTransaction answers a statement that failed at the target. The transaction
+// continues if the target has kept it open.
 func (r *request) failedInTransaction(a statement.Answer) statement.Answer {
 	if r.st.Kind == statement.Commit {
 		return r.failedCommit(a)
@@ -174,8 +176,8 @@
 	return r.endFailed(a.Failure)
 }
 
-// failedCommit: a commit that the target refused before it ran leaves nothing once the
-// transaction is rolled back.
+// failedCommit answers a commit that failed at the target. If the target refused it
+// before it ran, nothing of the transaction is kept once it is rolled back.
 func (r *request) failedCommit(a statement.Answer) statement.Answer {
 	if a.Failure.Ran == result.NotRun {
 		return r.endFailed(aborted("the commit was refused: %s", a.Failure.Detail))
@@ -187,11 +189,11 @@
 func (r *request) attach() *result.Error {
 	var last, saturated *result.Error
 	tried := map[topology.TargetID]bool{}
-	for r.left(sendReserve) && r.ctx.Err() == nil {
+	for r.hasTimeFor(sendReserve) && r.ctx.Err() == nil {
 		var failure *result.Error
-		anywhere, lacked := r.tx.readOnly && r.class.Reads != directory.Newest, needPrimary
+		anywhere, missing := r.tx.readOnly && r.class.Reads != directory.Newest, needPrimary
 		if anywhere {
-			failure, lacked = r.attachAnywhere(tried), needTarget
+			failure, missing = r.attachAnywhere(tried), needTarget
 		} else {
 			failure = r.attachPrimary()
 		}
@@ -208,18 +210,18 @@
 		if (failure.Code == result.NoRight || failure.Code == result.AgeNotShown) && r.server.Rights.CutOff() {
 			break
 		}
-		if failure.Code == result.NoRight && r.server.router.lacks(r.class.Group, needRight) || r.ageLacksForLong(failure) {
+		if failure.Code == result.NoRight && r.server.router.recordMissing(r.class.Group, needRight) || r.ageMissingForLong(failure) {
 			break
 		}
-		if r.server.router.lacksTarget(&r.class, failure, lacked) {
+		if r.server.router.noTargetSoon(&r.class, failure, missing) {
 			break
 		}
 	}
-	return notBegun(last)
+	return attachFailure(last)
 }
 
-// notBegun is the answer of a transaction that no target took: only its beginning was tried.
-func notBegun(last *result.Error) *result.Error {
+// attachFailure returns the failure of a transaction that no target accepted: no statement after its begin was sent.
+func attachFailure(last *result.Error) *result.Error {
 	switch {
 	case last == nil:
 		return result.New(result.DeadlineInQueue, "no target in time")
@@ -230,7 +232,7 @@
 }
 
 func (r *request) attachAnywhere(tried map[topology.TargetID]bool) *result.Error {
-	c, failure := r.server.router.chooseRead(&r.class, r.sessionFloor(), r.patience(), tried)
+	c, failure := r.server.router.chooseRead(&r.class, r.sessionFloor(), r.maxWait(), tried)
 	if failure != nil {
 		r.beforeNextRead(failure, tried)
 		return failure
@@ -238,7 +240,7 @@
 	r.pause(c.catchUp)
 	failure = r.attachTo(c.pool, c.floor)
 	if failure != nil {
-		r.passOver(c, failure, position.Position{}, tried)
+		r.excludeTarget(c, failure, position.Position{}, tried)
 	}
 	return failure
 }
@@ -253,8 +255,8 @@
 		r.pause(retryPause)
 		return failure
 	}
-	r.server.router.has(r.class.Group, needPrimary)
-	r.tx.right, r.tx.guarded = right, true
+	r.server.router.recordFound(r.class.Group, needPrimary)
+	r.tx.right, r.tx.needsRight = right, true
 	return nil
 }
 
@@ -267,15 +269,15 @@
 	if failure != nil {
 		return failure
 	}
-	wall := r.wall()
-	err := link.Adapt(wall, r.context.Values())
+	wallDeadline := r.wallDeadline()
+	err := link.Adapt(wallDeadline, r.context.Values())
 	if err == nil {
-		err = link.Begin(wall, r.tx.readOnly, floor)
+		err = link.Begin(wallDeadline, r.tx.readOnly, floor)
 	}
 	if err != nil {
 		link.Release()
-		return r.lost(id, notSent{err})
+		return r.connectionFailure(id, notSent{err})
 	}
-	r.tx.link, r.tx.at = link, id
+	r.tx.link, r.tx.targetID = link, id
 	return nil
 }
