--- a/internal/gatewayd/daemon.go
+++ b/internal/gatewayd/daemon.go
@@ -28,11 +28,11 @@
 	"github.com/buckthornshore/buckthornshore/platform"
 )
 
-// memoryShare of the process's limit that the garbage collector may use: buffers of
-// the kernel count as well.
+// memoryShare is the share of the process's memory limit that the Go runtime may use:
+// buffers of the kernel count towards the limit as well.
 const memoryShare = 0.7
 
-// New wires the daemon.
+// New returns the daemon's application. path is the file that the settings were loaded from.
 func New(path string, s Settings) *fx.App {
 	if s.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryMB<<20)))
@@ -59,14 +59,14 @@
 			newKeeper,
 			newLead,
 			newServer,
-			newLifecycle,
+			newRunState,
 			newMalformed,
 		),
 		fx.Invoke(run),
 	)
 }
 
-// startTimeout is long: a daemon that starts during an outage of the store waits for it.
+// startTimeout is long, because a daemon that starts during an outage of the store waits for the store.
 const startTimeout = time.Hour
 
 type settingsFile string
@@ -75,7 +75,7 @@
 	return meteredStore{platform.NewStore(s.StoreAddress), m}
 }
 
-// register takes this start's incarnation from the store.
+// register registers the VM in the store and returns it with the incarnation of this start.
 func register(s Settings, store metastore.Store, log *slog.Logger) (topology.VM, error) {
 	vm := topology.VM{ID: s.VM, DataCentre: s.DataCentre, Region: s.Region, PeerAddress: s.PeerAddress, Cores: s.CPUShare * s.CPUSpeed}
 	return lead.Register(context.Background(), store, vm, log)
@@ -89,7 +89,7 @@
 	return pools
 }
 
-type leadParts struct {
+type leadDependencies struct {
 	fx.In
 	Settings  Settings
 	Directory *directory.Directory
@@ -102,7 +102,7 @@
 	Metrics   *metrics.Peers
 }
 
-func newLead(p leadParts) (*lead.Lead, error) {
+func newLead(p leadDependencies) (*lead.Lead, error) {
 	transport, err := lead.Listen(p.Settings.PeerAddress, p.Log)
 	if err != nil {
 		return nil, err
@@ -128,25 +128,25 @@
 	})
 }
 
-// lifecycle is what the daemon's start and stop share.
-type lifecycle struct {
+// runState is the state that the daemon's start and stop share.
+type runState struct {
 	leaving atomic.Bool
 	context context.Context
 	cancel  context.CancelFunc
 }
 
-func newLifecycle() *lifecycle {
-	l := &lifecycle{}
+func newRunState() *runState {
+	l := &runState{}
 	l.context, l.cancel = context.WithCancel(context.Background())
 	return l
 }
 
-type parts struct {
+type daemon struct {
 	fx.In
 	Lifecycle fx.Lifecycle
 	Settings  Settings
 	File      settingsFile
-	Life      *lifecycle
+	State     *runState
 	Directory *directory.Directory
 	Store     metastore.Store
 	Pools     *target.Pools
@@ -161,95 +161,95 @@
 	Customers *metrics.Customers
 }
 
-func run(p parts) {
-	p.Lifecycle.Append(fx.Hook{OnStart: p.start, OnStop: p.stop})
+func run(d daemon) {
+	d.Lifecycle.Append(fx.Hook{OnStart: d.start, OnStop: d.stop})
 }
 
-func (p *parts) start(context.Context) error {
-	ctx := p.Life.context
-	p.Lead.Share(p.Server.Positions())
-	go p.configurationWatcher().Run(ctx)
-	go p.targetWatcher().Run(ctx)
-	go p.Pools.Run(ctx)
-	go p.Lead.Run(ctx)
-	go p.reloads(ctx)
-	go p.shedWhileOutOfTouch(ctx)
-	go p.Logging.run(ctx)
-	callers, err := net.Listen("tcp", p.Settings.CallerAddress)
+func (d *daemon) start(context.Context) error {
+	ctx := d.State.context
+	d.Lead.Share(d.Server.Positions())
+	go d.configurationWatcher().Run(ctx)
+	go d.targetWatcher().Run(ctx)
+	go d.Pools.Run(ctx)
+	go d.Lead.Run(ctx)
+	go d.reloadOnSignal(ctx)
+	go d.shedWhileOutOfTouch(ctx)
+	go d.Logging.run(ctx)
+	callers, err := net.Listen("tcp", d.Settings.CallerAddress)
 	if err != nil {
 		return err
 	}
-	ready, err := net.Listen("tcp", p.Settings.ReadyAddress)
+	ready, err := net.Listen("tcp", d.Settings.ReadyAddress)
 	if err != nil {
 		return err
 	}
-	peers, err := net.Listen("tcp", p.Settings.PeerAddress)
+	peers, err := net.Listen("tcp", d.Settings.PeerAddress)
 	if err != nil {
 		return err
 	}
-	forwarded := &forward.Server{Directory: p.Directory, Pools: p.Pools, Clock: p.Clock, Log: p.Log}
+	forwarded := &forward.Server{Directory: d.Directory, Pools: d.Pools, Clock: d.Clock, Log: d.Log}
 	go forwarded.Serve(ctx, peers)
-	go p.Server.Serve(ctx, callers)
-	go p.serveHTTP(ready, platform.ReadyHandler(p.ready))
-	if err := p.serveAdmin(); err != nil {
+	go d.Server.Serve(ctx, callers)
+	go d.serveHTTP(ready, platform.ReadyHandler(d.ready))
+	if err := d.serveAdmin(); err != nil {
 		return err
 	}
-	p.Log.Info("event=started", "vm", p.Settings.VM, "data_centre", p.Settings.DataCentre, "caller_address", p.Settings.CallerAddress,
+	d.Log.Info("event=started", "vm", d.Settings.VM, "data_centre", d.Settings.DataCentre, "caller_address", d.Settings.CallerAddress,
 		"pid", os.Getpid())
 	return nil
 }
 
-func (p *parts) serveAdmin() error {
-	if p.Settings.AdminAddress == "" {
+func (d *daemon) serveAdmin() error {
+	if d.Settings.AdminAddress == "" {
 		return nil
 	}
-	l, err := net.Listen("tcp", p.Settings.AdminAddress)
+	l, err := net.Listen("tcp", d.Settings.AdminAddress)
 	if err != nil {
 		return err
 	}
-	go p.serveHTTP(l, metrics.Handler(p.Registry, p.whyNotReady))
+	go d.serveHTTP(l, metrics.Handler(d.Registry, d.notReadyReason))
 	return nil
 }
 
 // headerTimeout bounds how long a request's header may take.
 const headerTimeout = 5 * time.Second
 
-func (p *parts) serveHTTP(l net.Listener, h http.Handler) {
+func (d *daemon) serveHTTP(l net.Listener, h http.Handler) {
 	server := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout}
-	if err := server.Serve(l); err != nil && p.Life.context.Err() == nil {
-		p.Log.Error("event=http_server_ended", "address", l.Addr(), "error", err)
+	if err := server.Serve(l); err != nil && d.State.context.Err() == nil {
+		d.Log.Error("event=http_server_ended", "address", l.Addr(), "error", err)
 	}
 }
 
-func (p *parts) ready() bool { return p.whyNotReady() == "" }
+func (d *daemon) ready() bool { return d.notReadyReason() == "" }
 
-// whyNotReady returns why the balancer is to send no connections here, or "".
-func (p *parts) whyNotReady() string {
+// notReadyReason returns why the balancer must send no connections to this VM, or "" if it may.
+func (d *daemon) notReadyReason() string {
 	switch {
-	case p.Life.leaving.Load():
+	case d.State.leaving.Load():
 		return "leaving"
-	case p.Directory.Configuration() == nil:
+	case d.Directory.Configuration() == nil:
 		return "no configuration"
-	case len(p.Directory.Targets()) == 0:
+	case len(d.Directory.Targets()) == 0:
 		return "no target is registered"
-	case p.Lead.OutOfTouch():
+	case d.Lead.OutOfTouch():
 		return "out of touch"
 	}
 	return ""
 }
 
-// shedAfter is how long a VM must be out of touch before it sends its sessions away. The
-// balancer takes it out of rotation after one to two seconds; a caller that comes back
-// sooner meets the same refusals as before, and those that come back later are served
-// elsewhere with their next request.
+// shedAfter is how long a VM must be out of touch before it sheds its sessions. The balancer
+// takes it out of rotation after one to two seconds. A caller that reconnects sooner is
+// refused as before; one that reconnects later is served by another VM with its next request.
 const shedAfter = 1300 * time.Millisecond
 
-// touchPeriod is how often it is looked whether this VM is in touch.
-const touchPeriod = 100 * time.Millisecond
+// touchCheckInterval is how often the daemon checks whether this VM is out of touch.
+const touchCheckInterval = 100 * time.Millisecond
 
-// shedWhileOutOfTouch sends sessions away about when the balancer brings no new ones.
-func (p *parts) shedWhileOutOfTouch(ctx context.Context) {
-	ticker := time.NewTicker(touchPeriod)
+// shedWhileOutOfTouch sheds the sessions while this VM is out of touch, from about when the balancer
+// sends no new ones.
+func (d *daemon) shedWhileOutOfTouch(ctx context.Context) {
+	ticker := time.NewTicker(touchCheckInterval)
 	defer ticker.Stop()
 	since := time.Time{}
 	for {
@@ -259,53 +259,54 @@
 			return
 		}
 		switch {
-		case !p.Lead.OutOfTouch():
+		case !d.Lead.OutOfTouch():
 			since = time.Time{}
-			p.Server.Keep()
+			d.Server.Keep()
 		case since.IsZero():
 			since = time.Now()
 		case time.Since(since) > shedAfter:
-			p.Server.Shed()
+			d.Server.Shed()
 		}
 	}
 }
 
-// The parts of the grace in which a daemon that leaves goes on.
+// Times of the steps by which the daemon stops. The shares are shares of Settings.Grace.
 const (
-	// rotationTime is how long the balancer may send new connections after the
-	// VM said that it is not ready: it asks each second, and twice.
+	// rotationTime is how long the balancer may send new connections after the VM is
+	// no longer ready: it checks each second, and stops after two failed checks.
 	rotationTime = 2200 * time.Millisecond
-	// transactionShare of the grace is left to open transactions.
+	// transactionShare is the share of the grace that open transactions have to end.
 	transactionShare = 0.5
-	// lastShare of the grace is when the last request is taken. What is left of the usual
-	// grace is longer than a statement may take, so none is cut off.
-	lastShare = 0.6
-	// endShare of the grace is when the process ends in any case.
-	endShare = 0.93
+	// lastRequestShare is the share of the grace during which requests are accepted. What is left of
+	// the usual grace is longer than a statement may take, so none is cut off.
+	lastRequestShare = 0.6
+	// processEndShare is the share of the grace after which the process ends in any case.
+	processEndShare = 0.93
 )
 
-// stop leaves in order: say not ready, hand over the groups that this VM coordinates,
-// answer what comes, close idle sessions once the balancer sends none, and end.
-func (p *parts) stop(ctx context.Context) error {
-	p.Life.leaving.Store(true)
-	p.Log.Info("event=stopping", "sessions", p.Server.Sessions())
+// stop ends the daemon gracefully: it reports the VM as not ready, hands over the groups that
+// this VM coordinates, answers the requests that arrive, and closes idle sessions once the
+// balancer sends no new ones.
+func (d *daemon) stop(ctx context.Context) error {
+	d.State.leaving.Store(true)
+	d.Log.Info("event=stopping", "sessions", d.Server.Sessions())
 	now := time.Now()
-	grace := float64(p.Settings.Grace)
+	grace := float64(d.Settings.Grace)
 	plan := gateway.LeavePlan{
 		Idle:         now.Add(min(rotationTime, time.Duration(transactionShare*grace))),
 		Transactions: now.Add(time.Duration(transactionShare * grace)),
-		All:          now.Add(time.Duration(lastShare * grace)),
+		All:          now.Add(time.Duration(lastRequestShare * grace)),
 	}
-	p.Server.Leave(plan)
-	handing, cancel := context.WithDeadline(ctx, plan.Transactions)
-	p.Lead.Leave(handing)
+	d.Server.Leave(plan)
+	handoverCtx, cancel := context.WithDeadline(ctx, plan.Transactions)
+	d.Lead.Leave(handoverCtx)
 	cancel()
 	time.Sleep(time.Until(plan.Idle))
-	waiting, cancel := context.WithDeadline(ctx, now.Add(time.Duration(endShare*grace)))
+	waitCtx, cancel := context.WithDeadline(ctx, now.Add(time.Duration(processEndShare*grace)))
 	defer cancel()
-	p.Server.Wait(waiting)
-	p.Log.Info("event=stopped", "sessions", p.Server.Sessions(), "took", time.Since(now))
-	p.Life.cancel()
-	p.Logging.flush()
+	d.Server.Wait(waitCtx)
+	d.Log.Info("event=stopped", "sessions", d.Server.Sessions(), "took", time.Since(now))
+	d.State.cancel()
+	d.Logging.flush()
 	return nil
 }
--- a/internal/gatewayd/log_test.go
+++ b/internal/gatewayd/log_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// BenchmarkLineOfAFailedRequest is what the line of one failed request costs its goroutine. The
-// lines are written by another one, so what it does not take is left out and counted.
-func BenchmarkLineOfAFailedRequest(b *testing.B) {
+// BenchmarkLogLineOfFailedRequest measures what logging one failed request costs the goroutine that
+// serves it. Another goroutine writes the lines; those that it can't keep up with are dropped and counted.
+func BenchmarkLogLineOfFailedRequest(b *testing.B) {
 	l := newLogging(Settings{VM: "vm-1", LogLevel: "info"})
 	l.out = io.Discard
 	go l.run(b.Context())
--- a/internal/gatewayd/logging.go
+++ b/internal/gatewayd/logging.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	// linesPerSecond bounds the log, and with it the processor time that it takes.
-	linesPerSecond = 400
-	// linesQueued may wait for the output; more are left out rather than waited for.
-	linesQueued = 1000
+	// maxLinesPerSecond bounds the log, and with it the processor time that logging takes.
+	maxLinesPerSecond = 400
+	// maxQueuedLines is how many lines may wait for the output. Further lines are dropped, so that
+	// logging does not block.
+	maxQueuedLines = 1000
 )
 
-// logging writes lines without ever blocking who logs: they are queued, bounded a
-// second, and what is left out is counted in the log itself.
+// logging writes log lines without ever blocking the caller. Lines are queued, their number
+// per second is bounded, and the number of dropped lines is itself logged.
 type logging struct {
 	log   *slog.Logger
 	level *slog.LevelVar
@@ -34,7 +35,7 @@
 }
 
 func newLogging(s Settings) *logging {
-	l := &logging{level: &slog.LevelVar{}, out: os.Stdout, lines: make(chan []byte, linesQueued)}
+	l := &logging{level: &slog.LevelVar{}, out: os.Stdout, lines: make(chan []byte, maxQueuedLines)}
 	l.setLevel(s.LogLevel)
 	l.log = slog.New(slog.NewTextHandler(l, kvlog.Options(l.level))).With("vm", s.VM)
 	return l
@@ -56,7 +57,7 @@
 	select {
 	case l.lines <- bytes.Clone(line):
 	default:
-		l.count()
+		l.countDropped()
 	}
 	return len(line), nil
 }
@@ -67,7 +68,7 @@
 	if second != l.second {
 		l.second, l.written = second, 0
 	}
-	if l.written >= linesPerSecond {
+	if l.written >= maxLinesPerSecond {
 		l.dropped++
 		return false
 	}
@@ -75,7 +76,7 @@
 	return true
 }
 
-func (l *logging) count() {
+func (l *logging) countDropped() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.dropped++
@@ -98,13 +99,13 @@
 	dropped := l.dropped
 	l.dropped = 0
 	l.mu.Unlock()
-	_, _ = l.out.Write(line) // There is nowhere to report it.
+	_, _ = l.out.Write(line) // An error of the log itself can't be reported.
 	if dropped > 0 {
 		l.log.Warn("event=log_lines_left_out", "count", dropped)
 	}
 }
 
-// flush writes what is queued at a stop.
+// flush writes the queued lines when the daemon stops.
 func (l *logging) flush() {
 	for {
 		select {
--- a/internal/gatewayd/metered.go
+++ b/internal/gatewayd/metered.go
@@ -10,8 +10,8 @@
 	"github.com/buckthornshore/buckthornshore/pkg/metastore"
 )
 
-// meteredStore counts the calls to a store by their outcome. A table whose calls fail while those
-// of others succeed shows a reply that can't be had, and not a store that is out.
+// meteredStore counts the calls to a store by table, operation and outcome. If the calls for one
+// table fail while those for others succeed, that table's reply can't be received; the store is not down.
 type meteredStore struct {
 	metastore.Store
 	metrics *metrics.Store
@@ -45,7 +45,7 @@
 	return err
 }
 
-// outcome names what a call came to.
+// outcome returns the name of a call's outcome in the metrics.
 func outcome(err error) string {
 	switch {
 	case err == nil:
--- a/internal/gatewayd/metered_test.go
+++ b/internal/gatewayd/metered_test.go
@@ -11,30 +11,30 @@
 	"github.com/buckthornshore/buckthornshore/pkg/metastore"
 )
 
-// oneTableLost answers for all tables but one.
-type oneTableLost struct {
+// failingTableStore is a store whose watches of one table fail.
+type failingTableStore struct {
 	metastore.Store
-	lost string
+	failing string
 }
 
-func (s oneTableLost) Watch(ctx context.Context, table string, after uint64, wait time.Duration) (metastore.Rows, error) {
-	if table == s.lost {
+func (s failingTableStore) Watch(ctx context.Context, table string, after uint64, wait time.Duration) (metastore.Rows, error) {
+	if table == s.failing {
 		return metastore.Rows{}, errors.New("no whole reply")
 	}
 	return s.Store.Watch(ctx, table, after, wait)
 }
 
-// One table of the store can't be had, and the others can. The metrics tell which, and what the
-// calls that change something came to.
+// One table of the store can't be watched while the others can. The metrics must show which one, and
+// the outcomes of writes.
 func TestCallsToTheStoreAreCountedByTableAndOutcome(t *testing.T) {
 	ctx := context.Background()
 	registry := metrics.New()
-	store := meteredStore{oneTableLost{metastore.NewMemory(), "large"}, metrics.NewStore(registry)}
+	store := meteredStore{failingTableStore{metastore.NewMemory(), "large"}, metrics.NewStore(registry)}
 	_, _ = store.Watch(ctx, "large", 0, time.Millisecond)
 	_, _ = store.Watch(ctx, "small", 0, time.Millisecond)
 	_, _ = store.Put(ctx, "small", "k", nil, 0)
 	_, _ = store.Put(ctx, "small", "k", nil, 0)
-	if err := registry.Close(); err != nil { // Reports what is left.
+	if err := registry.Close(); err != nil { // Reports the remaining counts.
 		t.Fatal(err)
 	}
 	counted := map[string]int64{}
--- a/internal/gatewayd/settings.go
+++ b/internal/gatewayd/settings.go
@@ -1,5 +1,5 @@
-// Package gatewayd puts the parts of the gateway daemon together. It is the one place
-// outside of the adapter that knows on which platform the product runs.
+// Package gatewayd assembles the gateway daemon. It is the only package outside the
+// platform adapter that depends on the platform on which the product runs.
 package gatewayd
 
 import (
@@ -15,38 +15,39 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Settings are the daemon's own: its addresses and its place.
+// Settings are the settings of one daemon, such as its addresses and its location.
 type Settings struct {
 	VM         topology.VMID       `json:"vm"`
 	DataCentre topology.DataCentre `json:"data_centre"`
 	Region     string              `json:"region"`
 	// CallerAddress is where callers connect, ip:port.
 	CallerAddress string `json:"caller_address"`
-	// ReadyAddress is where the balancer asks whether the VM takes connections.
+	// ReadyAddress is where the balancer checks whether the VM accepts connections, ip:port.
 	ReadyAddress string `json:"ready_address"`
-	// PeerAddress is where other VMs send to, ip:port over UDP and TCP.
+	// PeerAddress is where other VMs send their messages, ip:port over UDP and TCP.
 	PeerAddress string `json:"peer_address"`
 	// AdminAddress serves metrics, ip:port; optional.
 	AdminAddress string `json:"admin_address"`
-	// StoreAddress of the platform's metadata store, and PromotionAddress of its
-	// promotions.
+	// StoreAddress is the address of the platform's metadata store, and PromotionAddress
+	// that of its promotion service.
 	StoreAddress     string `json:"store_address"`
 	PromotionAddress string `json:"promotion_address"`
-	// CPUShare is the part of a core that the VM has, of cores CPUSpeed times as fast as usual.
+	// CPUShare is the share of a core that the VM has; its cores are CPUSpeed times as fast as usual.
 	CPUShare float64 `json:"cpu_share"`
 	CPUSpeed float64 `json:"cpu_speed"`
-	// QuotaWindow is the time over which customers' limits are counted. In any such time a part QuotaExcess
-	// and QuotaSlack operations beyond a limit are allowed, for what VMs admit before they hear of each other.
+	// QuotaWindow is the time over which customers' limits are counted. In any such time the fraction
+	// QuotaExcess of a limit and QuotaSlack operations are allowed beyond it, to cover what VMs admit before
+	// they learn of each other's operations.
 	QuotaWindow settings.Duration `json:"quota_window"`
 	QuotaExcess float64           `json:"quota_excess"`
 	QuotaSlack  float64           `json:"quota_slack"`
-	// Drain is for how long after it was announced a target that leaves may be sent new work.
+	// Drain is for how long a target may be sent new work after it was announced that it leaves.
 	Drain settings.Duration `json:"drain"`
 	// Grace is how long the daemon may take to stop.
 	Grace settings.Duration `json:"grace"`
-	// MemoryMB is the process's limit; the garbage collector keeps below.
+	// MemoryMB is the memory limit of the process in MiB; the garbage collector stays below it. 0 is no limit.
 	MemoryMB int64 `json:"memory_mb"`
-	// MaxSessions bounds the open sessions.
+	// MaxSessions is the maximum number of open sessions.
 	MaxSessions int    `json:"max_sessions"`
 	LogLevel    string `json:"log_level"`
 }
@@ -70,12 +71,12 @@
 	return s, s.check()
 }
 
-// check reports all that is wrong at once.
+// check returns one error with all invalid settings.
 func (s *Settings) check() error {
-	var wrong []string
+	var problems []string
 	for name, value := range map[string]string{"vm": string(s.VM), "data_centre": string(s.DataCentre)} {
 		if value == "" {
-			wrong = append(wrong, name+" is missing")
+			problems = append(problems, name+" is missing")
 		}
 	}
 	addresses := map[string]string{
@@ -87,30 +88,30 @@
 	}
 	for name, address := range addresses {
 		if _, _, err := net.SplitHostPort(address); err != nil {
-			wrong = append(wrong, fmt.Sprintf("%s: %v; ip:port is wanted", name, err))
+			problems = append(problems, fmt.Sprintf("%s: %v; ip:port is wanted", name, err))
 		}
 	}
 	if s.Drain < 0 {
-		wrong = append(wrong, "drain must be 0 or more")
+		problems = append(problems, "drain must be 0 or more")
 	}
 	if s.Grace < minGrace {
-		wrong = append(wrong, fmt.Sprintf("grace is %v; %v or more is wanted", s.Grace.Std(), minGrace.Std()))
+		problems = append(problems, fmt.Sprintf("grace is %v; %v or more is wanted", s.Grace.Std(), minGrace.Std()))
 	}
 	if s.CPUShare <= 0 || s.CPUSpeed <= 0 {
-		wrong = append(wrong, "cpu_share and cpu_speed must be above 0")
+		problems = append(problems, "cpu_share and cpu_speed must be above 0")
 	}
 	if s.QuotaWindow < minQuotaWindow {
-		wrong = append(wrong, fmt.Sprintf("quota_window is %v; %v or more is wanted", s.QuotaWindow.Std(), minQuotaWindow.Std()))
+		problems = append(problems, fmt.Sprintf("quota_window is %v; %v or more is wanted", s.QuotaWindow.Std(), minQuotaWindow.Std()))
 	}
 	if s.QuotaExcess < 0 || s.QuotaSlack < 0 {
-		wrong = append(wrong, "quota_excess and quota_slack must be 0 or more")
+		problems = append(problems, "quota_excess and quota_slack must be 0 or more")
 	}
 	if s.MaxSessions < 1 {
-		wrong = append(wrong, "max_sessions must be 1 or more")
+		problems = append(problems, "max_sessions must be 1 or more")
 	}
-	if len(wrong) == 0 {
+	if len(problems) == 0 {
 		return nil
 	}
-	slices.Sort(wrong)
-	return result.New(result.ConfigInvalid, "%s", strings.Join(wrong, "; "))
+	slices.Sort(problems)
+	return result.New(result.ConfigInvalid, "%s", strings.Join(problems, "; "))
 }
--- a/internal/gatewayd/settings_test.go
+++ b/internal/gatewayd/settings_test.go
@@ -11,7 +11,7 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// load writes settings that are right but for what is changed, and loads them.
+// load writes valid settings with the given changes to a file, and loads them.
 func load(t *testing.T, changed map[string]any) (Settings, error) {
 	t.Helper()
 	all := map[string]any{
@@ -32,8 +32,8 @@
 	return LoadSettings(path)
 }
 
-// Guards against a time of leaving targets that is taken for another one than the operator set.
-func TestTheTimeOfLeavingTargetsIsASetting(t *testing.T) {
+// Guards against a drain time other than the one that the operator has set.
+func TestDrainTimeIsASetting(t *testing.T) {
 	if s, err := load(t, nil); err != nil || s.Drain.Std() != 7*time.Second {
 		t.Fatalf("by default %v, %v", s.Drain.Std(), err)
 	}
--- a/internal/gatewayd/watch.go
+++ b/internal/gatewayd/watch.go
@@ -16,156 +16,158 @@
 	"github.com/buckthornshore/buckthornshore/platform"
 )
 
-// The longest waits of watches. One on a connection that has gone silent is noticed that
-// late: a configuration has to be in force within seconds, and a target that leaves gets
-// work for some seconds more without harm.
+// The longest waits of watches. If the connection of a watch has gone silent, this is noticed only
+// after the wait. A configuration must be in force within seconds; that a leaving target is sent work
+// for some more seconds does no harm.
 const (
 	longestConfigurationWatch = 2500 * time.Millisecond
 	longestTargetWatch        = 4 * time.Second
-	// longestConfigurationRest is how long a watch of the configuration rests after a change at most.
-	// Changes that follow each other are then fetched together.
+	// longestConfigurationRest is the longest pause of the configuration's watch after a change, so
+	// that changes in close succession are fetched together.
 	longestConfigurationRest = 700 * time.Millisecond
-	// coordinatorWatch is how long a coordinator's watches of what the operators and targets
-	// write wait. A change ends the wait at once; the other VMs believe what it tells for two
-	// seconds after an answer, so one of this length with a slow store's answer is in time.
+	// coordinatorWatch is how long a coordinator's watches of the configuration and of the
+	// registrations wait. A change ends the wait at once. The other VMs trust what the coordinator
+	// distributes for two seconds after an answer of the store, so a wait of this length is in time
+	// even if the store answers slowly.
 	coordinatorWatch = 1200 * time.Millisecond
 )
 
-// configurationWatcher keeps the operators' configuration in force.
-func (p *parts) configurationWatcher() *directory.Watcher {
-	take := func(r metastore.Row, _ directory.Timing) bool {
-		return r.Key == platform.ConfigurationKey && !r.Deleted && p.takeConfiguration(r)
+// configurationWatcher returns the watcher that puts the operators' configuration in force.
+func (d *daemon) configurationWatcher() *directory.Watcher {
+	apply := func(r metastore.Row, _ directory.Timing) bool {
+		return r.Key == platform.ConfigurationKey && !r.Deleted && d.applyConfiguration(r)
 	}
 	return &directory.Watcher{
-		Store: p.Store, Table: platform.OperatorTable, Clock: p.Clock, Log: p.Log, Change: take,
-		Wait: func() time.Duration { return p.watchWait(longestConfigurationWatch) },
-		Feed: directory.Configurations, Relay: p.Directory.Relay(),
-		Neighbours: forward.Neighbours{Directory: p.Directory},
-		Rest:       func() time.Duration { return min(p.Lead.WatchRest(), longestConfigurationRest) },
+		Store: d.Store, Table: platform.OperatorTable, Clock: d.Clock, Log: d.Log, Change: apply,
+		Wait: func() time.Duration { return d.watchWait(longestConfigurationWatch) },
+		Feed: directory.Configurations, Relay: d.Directory.Relay(),
+		Neighbours: forward.Neighbours{Directory: d.Directory},
+		Rest:       func() time.Duration { return min(d.Lead.WatchRest(), longestConfigurationRest) },
 		All: func(rows []metastore.Row, at directory.Timing) bool {
-			news := false
+			changed := false
 			for _, r := range rows {
-				news = take(r, at) || news
+				changed = apply(r, at) || changed
 			}
-			return news
+			return changed
 		},
 	}
 }
 
-// watchWait is the wait of a watch. A coordinator's is short: the other VMs rely on it.
-func (p *parts) watchWait(longest time.Duration) time.Duration {
-	if p.Lead.Coordinates() {
+// watchWait returns how long a watch waits. A coordinator's wait is short, because the other VMs rely on it.
+func (d *daemon) watchWait(longest time.Duration) time.Duration {
+	if d.Lead.Coordinates() {
 		return coordinatorWatch
 	}
-	return p.Directory.WatchWait(longest)
+	return d.Directory.WatchWait(longest)
 }
 
-// takeConfiguration reports whether the configuration is newer than the one in force.
-func (p *parts) takeConfiguration(r metastore.Row) bool {
+// applyConfiguration puts a configuration in force if it is newer, and reports whether there is something
+// new for the other VMs.
+func (d *daemon) applyConfiguration(r metastore.Row) bool {
 	c, err := platform.DecodeConfiguration(r.Value)
 	if err != nil {
-		p.Log.Error("event=configuration_malformed", "row_version", r.Version, "error", err, "outcome", "kept the one in force")
-		return true // The other VMs look for themselves.
+		d.Log.Error("event=configuration_malformed", "row_version", r.Version, "error", err, "outcome", "kept the configuration in force")
+		return true // The other VMs decode it themselves.
 	}
-	newer := p.Directory.SetConfiguration(c)
+	newer := d.Directory.SetConfiguration(c)
 	if newer {
-		p.Metrics.Configuration(c.Version)
-		p.Customers.Name(c.Customers.Largest(metrics.MostNamedCustomers))
-		p.Log.Info("event=configuration_in_force", "version", c.Version, "row_version", r.Version, "classes", len(c.Classes), "customers", c.Customers.Len(), "bytes", len(r.Value))
+		d.Metrics.Configuration(c.Version)
+		d.Customers.Name(c.Customers.Largest(metrics.MostNamedCustomers))
+		d.Log.Info("event=configuration_in_force", "version", c.Version, "row_version", r.Version, "classes", len(c.Classes), "customers", c.Customers.Len(), "bytes", len(r.Value))
 	}
 	return newer
 }
 
-// targetWatcher follows the targets' registrations.
-func (p *parts) targetWatcher() *directory.Watcher {
+// targetWatcher returns the watcher of the targets' registrations.
+func (d *daemon) targetWatcher() *directory.Watcher {
 	return &directory.Watcher{
-		Store: p.Store, Table: platform.TargetTable, Clock: p.Clock, Log: p.Log,
-		Wait: func() time.Duration { return p.watchWait(longestTargetWatch) },
-		Feed: directory.Registrations, Relay: p.Directory.Relay(),
-		Rest: p.Lead.WatchRest,
+		Store: d.Store, Table: platform.TargetTable, Clock: d.Clock, Log: d.Log,
+		Wait: func() time.Duration { return d.watchWait(longestTargetWatch) },
+		Feed: directory.Registrations, Relay: d.Directory.Relay(),
+		Rest: d.Lead.WatchRest,
 		All: func(rows []metastore.Row, at directory.Timing) bool {
-			news := false
+			changed := false
 			listed := map[string]bool{}
 			for _, r := range rows {
 				listed[r.Key] = true
-				news = p.takeTarget(r, at) || news
+				changed = d.applyTarget(r, at) || changed
 			}
-			gone := p.Directory.KeepRegistrations(listed)
-			p.logUnregistered(gone)
-			return news || len(gone) > 0
+			gone := d.Directory.KeepRegistrations(listed)
+			d.logUnregistered(gone)
+			return changed || len(gone) > 0
 		},
-		Change: p.takeTarget,
+		Change: d.applyTarget,
 	}
 }
 
-func (p *parts) logUnregistered(ids []topology.TargetID) {
+func (d *daemon) logUnregistered(ids []topology.TargetID) {
 	for _, id := range ids {
-		p.Log.Info("event=target_unregistered", "target", id)
+		d.Log.Info("event=target_unregistered", "target", id)
 	}
 }
 
-// takeTarget reports whether the registration says something new: most changes are
-// heartbeats.
-func (p *parts) takeTarget(r metastore.Row, at directory.Timing) bool {
+// applyTarget applies a change of a registration, and reports whether it contains something
+// new: most changes are heartbeats.
+func (d *daemon) applyTarget(r metastore.Row, at directory.Timing) bool {
 	if r.Deleted {
-		p.logUnregistered(p.Directory.RemoveRegistration(r.Key))
+		d.logUnregistered(d.Directory.RemoveRegistration(r.Key))
 		return true
 	}
 	t, err := platform.DecodeTarget(r.Key, r.Value)
 	if err != nil {
-		// What was known of the database may be as wrong: nothing names it any more.
-		gone := p.Directory.RemoveRegistration(r.Key)
-		p.logUnregistered(gone)
-		return p.Malformed.note(p.Log, r.Key, err) || len(gone) > 0 // The other VMs look for themselves.
+		// The earlier registration may be wrong as well, so the database is no longer registered.
+		gone := d.Directory.RemoveRegistration(r.Key)
+		d.logUnregistered(gone)
+		return d.Malformed.report(d.Log, r.Key, err) || len(gone) > 0 // The other VMs decode it themselves.
 	}
-	p.Malformed.forget(r.Key)
+	d.Malformed.forget(r.Key)
 	t.LeavingSince = at.After
-	known, ok := p.Directory.Target(t.ID)
-	changed := p.Directory.SetTarget(t)
+	known, ok := d.Directory.Target(t.ID)
+	changed := d.Directory.SetTarget(t)
 	if changed {
-		p.Log.Info("event=target_registered", "target", t.ID, "group", t.Group, "address", t.Address, "data_centre", t.DataCentre,
-			"leaving", t.Leaving, "says_primary", t.SaysPrimary, "superseded", t.Superseded, "row_version", r.Version)
+		d.Log.Info("event=target_registered", "target", t.ID, "group", t.Group, "address", t.Address, "data_centre", t.DataCentre,
+			"leaving", t.Leaving, "claims_primary", t.SaysPrimary, "superseded", t.Superseded, "row_version", r.Version)
 	}
-	// Which one says that it leads concerns the VM alone that writes a group's first row, and that one
-	// watches the store itself.
+	// Which target claims to be the primary matters only to the VM that writes a group's first row, and
+	// that VM watches the store itself.
 	known.SaysPrimary, known.LeavingSince = t.SaysPrimary, t.LeavingSince
 	return changed && (!ok || known != t)
 }
 
-// reloads reads the settings file again on SIGHUP. The log level changes at once; the
-// rest is told to need a restart.
-func (p *parts) reloads(ctx context.Context) {
+// reloadOnSignal reads the settings file again on SIGHUP. The log level changes at once; other
+// changed settings are logged as needing a restart.
+func (d *daemon) reloadOnSignal(ctx context.Context) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	defer signal.Stop(signals)
 	for {
 		select {
 		case <-signals:
-			p.reload()
+			d.reload()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (p *parts) reload() {
-	next, err := LoadSettings(string(p.File))
+func (d *daemon) reload() {
+	next, err := LoadSettings(string(d.File))
 	if err != nil {
-		p.Log.Error("event=reload_refused", "error", err, "outcome", "kept the settings in force")
+		d.Log.Error("event=reload_refused", "error", err, "outcome", "kept the settings in force")
 		return
 	}
-	p.Logging.setLevel(next.LogLevel)
-	p.Settings.LogLevel = next.LogLevel
-	p.Log.Info("event=reloaded", "log_level", next.LogLevel, "needs_restart", p.differing(next))
+	d.Logging.setLevel(next.LogLevel)
+	d.Settings.LogLevel = next.LogLevel
+	d.Log.Info("event=reloaded", "log_level", next.LogLevel, "needs_restart", d.changedSettings(next))
 }
 
-// differing lists the settings that are not the ones in force.
-func (p *parts) differing(next Settings) []string {
+// changedSettings returns the names of the settings that differ from those in force.
+func (d *daemon) changedSettings(next Settings) []string {
 	var keys []string
-	was, is := reflect.ValueOf(p.Settings), reflect.ValueOf(next)
-	for i := range was.NumField() {
-		if was.Field(i).Interface() != is.Field(i).Interface() {
-			keys = append(keys, was.Type().Field(i).Tag.Get("json"))
+	current, proposed := reflect.ValueOf(d.Settings), reflect.ValueOf(next)
+	for i := range current.NumField() {
+		if current.Field(i).Interface() != proposed.Field(i).Interface() {
+			keys = append(keys, current.Type().Field(i).Tag.Get("json"))
 		}
 	}
 	return keys
