--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -61,7 +61,7 @@
 	return gateway.Opening{Database: database, Key: customer.KeyOf(key)}, err
 }
 
-func (c *textCaller) Begun() bool    { return c.partial != "" || c.r.Buffered() > 0 }
+func (c *textCaller) HasInput() bool { return c.partial != "" || c.r.Buffered() > 0 }
 func (c *textCaller) Welcome() error { return c.writeLine("welcome") }
 func (c *textCaller) Refuse(e *result.Error) error {
 	return c.writeLine("refused " + e.Code.Name())
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -33,8 +33,8 @@
 	// refused and the session continues. A message that was received in part is kept
 	// after a timeout.
 	Next() (*statement.Statement, *result.Error, error)
-	// Begun reports whether a message has been received in part or whole.
-	Begun() bool
+	// HasInput reports whether a message has been received in part or whole.
+	HasInput() bool
 	Answer(a statement.Answer) error
 }
 
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -146,7 +146,7 @@
 func (s *session) idleDeadline(plan *LeavePlan, now time.Time) (time.Time, error) {
 	switch {
 	case s.tx == nil && s.revoked():
-		if s.caller.Begun() {
+		if s.caller.HasInput() {
 			return now.Add(finalReadTime), nil
 		}
 		return time.Time{}, errLeaving
@@ -156,7 +156,7 @@
 		return time.Time{}, errLeaving
 	case now.Before(plan.Idle):
 		return plan.Idle, nil
-	case s.caller.Begun() || !s.served || s.tx != nil:
+	case s.caller.HasInput() || !s.served || s.tx != nil:
 		return plan.All, nil
 	}
 	return time.Time{}, errLeaving
