--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -168,7 +168,7 @@
 	if got := late.readLine(); got != "closed" {
 		t.Fatalf("a new session after its answer: %q", got)
 	}
-	f.server.Keep()
+	f.server.StopShedding()
 	kept := f.open("newest")
 	kept.expect("write a 4", "I ok d")
 	kept.expect("write a 5", "I ok d")
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -240,7 +240,7 @@
 	noEnd = 24 * time.Hour
 )
 
-// Shed closes sessions between two requests, until Keep is called. New sessions are accepted,
+// Shed closes sessions between two requests, until StopShedding is called. New sessions are accepted,
 // and closed after their first answer. It is meant for a VM that can serve no requests for a
 // while and that the balancer has taken out of rotation: an open session stays at its VM, and
 // each of its requests would be refused for as long as the VM is cut off.
@@ -264,8 +264,8 @@
 	}
 }
 
-// Keep ends Shed.
-func (s *Server) Keep() {
+// StopShedding ends Shed.
+func (s *Server) StopShedding() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.shed = nil
--- a/internal/gatewayd/daemon.go
+++ b/internal/gatewayd/daemon.go
@@ -261,7 +261,7 @@
 		switch {
 		case !d.Lead.OutOfTouch():
 			since = time.Time{}
-			d.Server.Keep()
+			d.Server.StopShedding()
 		case since.IsZero():
 			since = time.Now()
 		case time.Since(since) > shedAfter:
