--- a/internal/gateway/router.go
+++ b/internal/gateway/router.go
@@ -23,7 +23,7 @@
 	// classes use.
 	sampleAge        = 10 * time.Second
 	sampleResolution = 50 * time.Millisecond
-	// refreshShare is the share of a read's staleness from which on a position is
+	// refreshShare is the share of a read's staleness after which a position is
 	// renewed ahead of need.
 	refreshShare = 0.6
 	// defaultServiceTime is the average time that a statement occupies a slot, assumed as
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -208,7 +208,7 @@
 	delete(s.sessions, sess)
 }
 
-// Leave ends the sessions by the plan: requests under way are answered, sessions are
+// Leave ends the sessions as planned: requests under way are answered, sessions are
 // closed between two requests.
 func (s *Server) Leave(plan LeavePlan) {
 	s.mu.Lock()
@@ -236,7 +236,7 @@
 	// shedDuration is the time over which shed sessions are closed. If they were closed at once,
 	// a thousand callers would open sessions at the other VMs at the same moment.
 	shedDuration = 500 * time.Millisecond
-	// noEnd is the time until the end of a plan that has none, long enough never to pass.
+	// noEnd is how far in the future the times of a plan without an end lie.
 	noEnd = 24 * time.Hour
 )
 
--- a/internal/gatewayd/daemon.go
+++ b/internal/gatewayd/daemon.go
@@ -32,7 +32,7 @@
 // buffers of the kernel count towards the limit as well.
 const memoryShare = 0.7
 
-// New returns the daemon's application. path is the file that the settings were loaded from.
+// New returns the daemon as an fx application. path is the file that the settings were loaded from.
 func New(path string, s Settings) *fx.App {
 	if s.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryMB<<20)))
