--- a/pkg/routing/applied.go
+++ b/pkg/routing/applied.go
@@ -8,48 +8,52 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Learn notes that the target reported p. Answers may cross: the highest stays.
+// Learn records that the target reported position p. Answers may arrive out of
+// order, so the highest position is kept.
 func (f *Freshness) Learn(target topology.TargetID, p position.Position, now mono.Time) {
 	a, known := f.targets[target]
 	if known && !a.Position.Less(p) {
 		if a.Position == p {
-			a.seen = max(a.seen, now)
+			a.lastReport = max(a.lastReport, now)
 			f.targets[target] = a
 		}
 		return
 	}
-	a.Position, a.Learnt, a.seen = p, now, now
+	a.Position, a.Learnt, a.lastReport = p, now, now
 	f.targets[target] = a
 }
 
-// Refused notes that the target refused a position that it does not hold: it holds no more than
-// what is known of it, as far as anybody can tell.
+// Refused records that the target refused a read because it lacks the position:
+// as far as is known, the target still holds no more than it last reported.
 func (f *Freshness) Refused(target topology.TargetID, now mono.Time) {
 	a, known := f.targets[target]
 	if known {
-		a.seen = max(a.seen, now)
+		a.lastReport = max(a.lastReport, now)
 		f.targets[target] = a
 	}
 }
 
-// CatchUp is in how long the target is expected to hold the floor. It was seen as far behind as
-// lies between the samples of the two positions, and is taken to apply the log as fast as the
-// primary has written it; one that stands still is seen further behind with each refusal.
+// CatchUp estimates how long the target takes to hold the floor; 0 when nothing
+// is known. The lag is the time between the primary's writes of the target's
+// position and of the floor. It is counted from the target's last report, and the
+// target is assumed to apply the log as fast as the primary wrote it. A target
+// that makes no progress doesn't get a shorter estimate: each refusal is a report
+// and restarts the count.
 func (f *Freshness) CatchUp(target topology.TargetID, floor position.Position, now mono.Time) time.Duration {
 	a, known := f.targets[target]
 	if !known || len(f.samples) == 0 || f.Holds(a.Position, floor) {
 		return 0
 	}
-	wanted := len(f.samples) - 1
-	for i := wanted; i >= 0 && f.Holds(f.samples[i].Position, floor); i-- {
-		wanted = i
+	floorSample := len(f.samples) - 1
+	for i := floorSample; i >= 0 && f.Holds(f.samples[i].Position, floor); i-- {
+		floorSample = i
 	}
-	behind := f.samples[wanted].Begun.Sub(f.writtenAt(a.Position))
-	return max(0, behind-now.Sub(a.seen))
+	behind := f.samples[floorSample].Begun.Sub(f.writtenAt(a.Position))
+	return max(0, behind-now.Sub(a.lastReport))
 }
 
-// writtenAt is about when the primary's newest position was p: drawn straight between the
-// samples around it, which may be some 100 ms apart.
+// writtenAt estimates when the primary's newest position was p, by linear
+// interpolation between the samples around p, which may be some 100 ms apart.
 func (f *Freshness) writtenAt(p position.Position) mono.Time {
 	next := 0
 	for next < len(f.samples) && f.Holds(p, f.samples[next].Position) {
@@ -65,31 +69,33 @@
 	if before.Position.Term != p.Term || after.Position.Term != p.Term {
 		return before.Begun
 	}
-	part := float64(p.Index-before.Position.Index) / float64(after.Position.Index-before.Position.Index)
-	return before.Begun.Add(time.Duration(part * float64(after.Begun.Sub(before.Begun))))
+	fraction := float64(p.Index-before.Position.Index) / float64(after.Position.Index-before.Position.Index)
+	return before.Begun.Add(time.Duration(fraction * float64(after.Begun.Sub(before.Begun))))
 }
 
-// MarkBehind notes that the target answered ReplicaBehind at position p. It is
-// avoided until its position moves: asking it again before would only repeat the
-// bounded wait.
+// MarkBehind records that the target answered ReplicaBehind at position p. The
+// target is avoided until its position advances: asking it earlier would only
+// repeat the bounded wait.
 func (f *Freshness) MarkBehind(target topology.TargetID, p position.Position, now mono.Time) {
 	f.Learn(target, p, now)
 	a := f.targets[target]
-	a.behind, a.hasBehind = p, true
+	a.behindAt, a.behindSet = p, true
 	f.targets[target] = a
 }
 
-// Behind reports whether the target is avoided since MarkBehind.
+// Behind reports whether the target is avoided because its position has not
+// advanced since MarkBehind.
 func (f *Freshness) Behind(target topology.TargetID) bool {
 	a := f.targets[target]
-	return a.hasBehind && !a.behind.Less(a.Position)
+	return a.behindSet && !a.behindAt.Less(a.Position)
 }
 
-// Applied returns what the target is known to hold.
+// Applied returns the highest position that the target is known to hold, and
+// false when none is known.
 func (f *Freshness) Applied(target topology.TargetID) (Applied, bool) {
 	a, ok := f.targets[target]
 	return a, ok
 }
 
-// Forget drops what is known of a target: it was rebuilt, and may hold less.
+// Forget drops what is known of a target that was rebuilt and may hold less.
 func (f *Freshness) Forget(target topology.TargetID) { delete(f.targets, target) }
--- a/pkg/routing/catchup_test.go
+++ b/pkg/routing/catchup_test.go
@@ -16,8 +16,9 @@
 	const replica, primary = topology.TargetID("r"), topology.TargetID("p")
 	second := mono.Time(time.Second)
 
-	// history is a primary that writes a position each 10 ms, sampled each 100 ms for a second, and a
-	// replica that was seen at its end 300 ms behind.
+	// history returns the samples of a primary that writes a position every 10 ms,
+	// sampled every 100 ms for a second, and of a replica that is 300 ms behind at
+	// the end of that second.
 	history := func() *routing.Freshness {
 		f := routing.NewFreshness(10*time.Second, 10*time.Millisecond)
 		for i := range uint64(11) {
@@ -27,7 +28,7 @@
 		return f
 	}
 
-	It("is expected to hold a floor as soon as it has applied what lies between", func() {
+	It("is expected to hold a floor once it has applied the log up to it", func() {
 		f := history()
 		Expect(f.CatchUp(replica, at(1, 91), second)).To(Equal(200 * time.Millisecond))
 		Expect(f.CatchUp(replica, at(1, 91), second+150*ms)).To(Equal(50 * time.Millisecond))
@@ -35,16 +36,17 @@
 		Expect(f.CatchUp("unknown", at(1, 91), second)).To(BeZero())
 	})
 
-	// Samples are rare where an entry has little traffic: what lies between two of them counts.
-	It("is judged between samples", func() {
+	// With little traffic samples are rare, so positions between two samples are
+	// interpolated.
+	It("is given an interpolated catch-up time between samples", func() {
 		f := history()
 		f.Learn(replica, at(1, 76), second)
 		Expect(f.CatchUp(replica, at(1, 91), second)).To(Equal(150 * time.Millisecond))
 	})
 
-	// It receives nothing for a while. Expected to have caught up, it is asked, refuses, and is
-	// expected that much later.
-	It("is not expected sooner by standing still", func() {
+	// The replica receives nothing for a while. It is asked when it should have
+	// caught up, and refuses. The estimate then restarts from the refusal.
+	It("gets no shorter catch-up time while its position does not advance", func() {
 		f := history()
 		f.Refused(replica, second+200*ms)
 		Expect(f.CatchUp(replica, at(1, 91), second+200*ms)).To(Equal(200 * time.Millisecond))
@@ -62,8 +64,9 @@
 		return e.Chosen
 	}
 
-	// All replicas lag, and all reads go to the primary, which can't serve them all. A read that
-	// lacks little waits for a replica instead, as long as it can still be answered in time.
+	// Guards against all reads going to the primary when all replicas lag: it can't
+	// serve them all. A read whose floor is soon reached waits for a replica instead,
+	// as long as it can still be answered in time.
 	It("is waited for while the primary would take longer", func() {
 		Expect(choose(400*time.Millisecond, time.Second)).To(Equal(replica))
 		Expect(choose(50*time.Millisecond, time.Second)).To(Equal(primary))
--- a/pkg/routing/choose.go
+++ b/pkg/routing/choose.go
@@ -15,10 +15,11 @@
 const (
 	// OtherDCCost keeps a read in its data centre unless the wait there is longer.
 	OtherDCCost = 2 * time.Millisecond
-	// UnconfirmedCost is the wait for a floor that the target may not hold yet.
+	// UnconfirmedCost is the least cost of waiting for a floor that the target is
+	// not known to hold.
 	UnconfirmedCost = 5 * time.Millisecond
-	// SuspectCost keeps reads away from a target that may be dead, yet leaves it
-	// in use when nothing else is there.
+	// SuspectCost keeps reads away from a target that may be dead, unless no
+	// other target is usable.
 	SuspectCost = time.Second
 )
 
@@ -29,14 +30,15 @@
 	SpillIdle = 4
 )
 
-// RetryNoTarget is when to come back while no target can serve: about the time
-// in which a failover ends or a replica catches up.
+// RetryNoTarget is the retry delay given to callers while no target can serve:
+// about the time that a failover or a replica's catch-up takes.
 const RetryNoTarget = 250 * time.Millisecond
 
-// AnyAge is the staleness of a read that needs its session's floor only.
+// AnyAge is the staleness of a read without an age bound, which needs only its
+// session's floor.
 const AnyAge = time.Duration(math.MaxInt64)
 
-// State is a target's health as its pooler sees it.
+// State is a target's health as reported by its pooler.
 type State int
 
 // The states of a target.
@@ -47,60 +49,61 @@
 	Leaving
 )
 
-// Candidate is a target as the chooser sees it.
+// Candidate is a target that Choose may pick, with its state and load.
 type Candidate struct {
 	Target  topology.TargetID
 	Primary bool
 	SameDC  bool
 	State   State
-	// Latency is the average time of an answer without its queueing.
+	// Latency is the average response time without the time spent queueing.
 	Latency time.Duration
 	// Service is the average time a request holds a slot.
 	Service time.Duration
 	// Slots is how many requests the target runs at once; 0 counts as 1.
 	Slots int
-	// QueueLength came with the target's last answer.
+	// QueueLength is the queue length reported with the target's last answer.
 	QueueLength int
-	// InFlight counts this entry's unanswered requests.
+	// InFlight is the number of this proxy's requests that are unanswered.
 	InFlight int
 }
 
-// ExpectedWait returns the time until an answer, were a request sent now.
+// ExpectedWait returns the expected time until the answer to a request sent now.
 func (c *Candidate) ExpectedWait() time.Duration {
 	ahead := time.Duration(c.QueueLength + c.InFlight)
 	return c.Latency + c.Service*ahead/time.Duration(max(c.Slots, 1))
 }
 
-// Request is what is to be routed.
+// Request describes the request to be routed.
 type Request struct {
 	Write bool
-	// Staleness is the greatest age of the data; AnyAge for no bound.
+	// Staleness is the maximum age of the data; AnyAge means no bound.
 	Staleness time.Duration
-	// Floor is the session's floor; it must be known by now.
+	// Floor is the session's floor, the position that a target must hold. The
+	// caller determines it before it calls Choose.
 	Floor position.Position
-	// Patience is for how long a replica that is behind may be waited for.
+	// Patience is the longest time to wait for a replica to catch up.
 	Patience time.Duration
 }
 
-// Random draws a number in [0, n); *rand.Rand of math/rand/v2 does.
+// Random draws a number in [0, n). *rand.Rand of math/rand/v2 implements it.
 type Random interface {
 	IntN(n int) int
 }
 
-// Choose picks the target of a request and explains it. It fails with NoPrimary
-// or AgeNotShown; the explanation is valid then, too.
+// Choose picks the target of a request and explains the choice. It fails with
+// NoPrimary or AgeNotShown; the explanation is valid in that case too.
 func Choose(now mono.Time, req Request, f *Freshness, targets []Candidate, random Random) (*Explanation, error) {
 	e := &Explanation{Write: req.Write, Floor: req.Floor, Candidates: make([]Verdict, 0, len(targets))}
-	aged := e.raiseFloor(now, req, f)
+	ageShown := e.raiseFloor(now, req, f)
 	for i := range targets {
-		e.Candidates = append(e.Candidates, judge(now, req, f, &targets[i], e.Floor, aged))
+		e.Candidates = append(e.Candidates, evaluate(now, req, f, &targets[i], e.Floor, ageShown))
 	}
 	chosen := e.pick(targets, req.Patience, random)
 	if chosen < 0 {
-		return e, e.refuse(req)
+		return e, e.noTargetError(req)
 	}
 	v := &e.Candidates[chosen]
-	invariant.Check(!req.Write || targets[chosen].Primary, "a write went to %s", v.Target)
+	invariant.Check(!req.Write || targets[chosen].Primary, "write routed to %s, which is not the primary", v.Target)
 	e.Chosen = v.Target
 	e.Unconfirmed = v.Reason == Unconfirmed
 	e.CatchUp = v.CatchUp
@@ -108,8 +111,9 @@
 	return e, nil
 }
 
-// raiseFloor turns the age into a floor, so that the pooler's check of the floor
-// proves the age as well. It reports whether an age can be shown at all.
+// raiseFloor converts the staleness bound into a floor, so that the pooler's
+// check of the floor also proves the age. It returns false when no sample is
+// recent enough to prove the age.
 func (e *Explanation) raiseFloor(now mono.Time, req Request, f *Freshness) bool {
 	if req.Write || req.Staleness == AnyAge {
 		return true
@@ -121,12 +125,12 @@
 	return ok
 }
 
-func judge(now mono.Time, req Request, f *Freshness, c *Candidate, floor position.Position, aged bool) Verdict {
+func evaluate(now mono.Time, req Request, f *Freshness, c *Candidate, floor position.Position, ageShown bool) Verdict {
 	v := Verdict{Target: c.Target, Primary: c.Primary, Wait: c.ExpectedWait()}
 	applied, known := f.Applied(c.Target)
 	v.Position = applied.Position
 	v.Age, v.AgeShown = f.ShownAge(c.Target, now)
-	v.Reason = reason(req, f, c, known && f.Holds(applied.Position, floor), aged)
+	v.Reason = reason(req, f, c, known && f.Holds(applied.Position, floor), ageShown)
 	v.cost = v.Wait
 	if !c.SameDC {
 		v.cost += OtherDCCost
@@ -141,7 +145,7 @@
 	return v
 }
 
-func reason(req Request, f *Freshness, c *Candidate, holds, aged bool) Reason {
+func reason(req Request, f *Freshness, c *Candidate, holds, ageShown bool) Reason {
 	switch {
 	case c.State == Dead:
 		return TargetDead
@@ -151,7 +155,7 @@
 		return Eligible
 	case req.Write:
 		return NotPrimary
-	case !aged:
+	case !ageShown:
 		return NoAgeShown
 	case holds:
 		return Eligible
@@ -161,39 +165,41 @@
 	return Unconfirmed
 }
 
-// pick returns the index of the chosen target, or -1. A read takes a replica of
-// its own data centre or the other ones, whichever costs less; the primary comes
-// last, so that writes keep its slots. A replica that is behind is waited for while that
-// is sooner than the primary's answer: the primary can't take all reads of replicas that lag.
+// pick returns the index of the chosen target, or -1. A read goes to a replica in
+// its own or another data centre, whichever costs less; the primary is the last
+// choice, which keeps its slots for writes. A read waits for a replica that is
+// behind while that is expected to be faster than the primary's answer and within
+// patience: the primary can't take the reads of all replicas that lag.
 func (e *Explanation) pick(targets []Candidate, patience time.Duration, random Random) int {
-	near, far, primary := make([]int, 0, len(targets)), []int(nil), -1
+	local, remote, primary := make([]int, 0, len(targets)), []int(nil), -1
 	for i := range targets {
 		switch {
 		case !e.Candidates[i].Reason.usable():
 		case targets[i].Primary:
 			primary = i
 		case targets[i].SameDC:
-			near = append(near, i)
+			local = append(local, i)
 		default:
-			far = append(far, i)
+			remote = append(remote, i)
 		}
 	}
-	replica := e.cheaper(e.bestOfTwo(near, random), e.bestOfTwo(far, random))
+	replica := e.cheaper(e.bestOfTwo(local, random), e.bestOfTwo(remote, random))
 	if replica < 0 {
 		return primary
 	}
 	if primary >= 0 && e.Candidates[replica].CatchUp > max(UnconfirmedCost, min(patience, e.Candidates[primary].Wait)) {
 		return primary
 	}
-	if primary >= 0 && e.spills(primary, near, far) {
+	if primary >= 0 && e.spills(primary, local, remote) {
 		e.Spilled = true
 		return primary
 	}
 	return replica
 }
 
-// bestOfTwo compares two drawn at random: entries that all took the least loaded
-// by the same old figures would move its load back and forth between targets.
+// bestOfTwo returns the cheaper of two targets drawn at random, or -1 if there is
+// none. If every proxy took the least loaded target by the same outdated figures,
+// the load would oscillate between targets.
 func (e *Explanation) bestOfTwo(from []int, random Random) int {
 	switch len(from) {
 	case 0:
@@ -222,19 +228,20 @@
 }
 
 // spills reports whether all the replicas are overloaded and the primary is idle.
-// It looks at every replica: the two drawn may be the only overloaded ones.
+// It checks every replica, since the two drawn by bestOfTwo may be the only
+// overloaded ones.
 func (e *Explanation) spills(primary int, replicas ...[]int) bool {
-	least := time.Duration(math.MaxInt64)
+	shortest := time.Duration(math.MaxInt64)
 	for _, group := range replicas {
 		for _, i := range group {
-			least = min(least, e.Candidates[i].Wait)
+			shortest = min(shortest, e.Candidates[i].Wait)
 		}
 	}
-	return least >= SpillWait && e.Candidates[primary].Wait <= least/SpillIdle
+	return shortest >= SpillWait && e.Candidates[primary].Wait <= shortest/SpillIdle
 }
 
-// refuse says why no target was chosen.
-func (e *Explanation) refuse(req Request) error {
+// noTargetError returns the error for a request for which no target was chosen.
+func (e *Explanation) noTargetError(req Request) error {
 	code := result.NoPrimary
 	for i := range e.Candidates {
 		if !req.Write && e.Candidates[i].Reason == NoAgeShown {
--- a/pkg/routing/explain.go
+++ b/pkg/routing/explain.go
@@ -9,13 +9,14 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Reason is why a target may or may not run a request.
+// Reason says why a target may or may not run a request.
 type Reason int
 
-// The reasons. Eligible and Unconfirmed ones may run it.
+// The reasons. A target that is Eligible or Unconfirmed may run the request.
 const (
 	Eligible Reason = iota
-	// Unconfirmed: the target may hold the floor; its pooler checks and waits.
+	// Unconfirmed means that the target is not known to hold the floor. Its pooler
+	// checks the floor and waits for it.
 	Unconfirmed
 	KnownBehind
 	NoAgeShown
@@ -29,45 +30,49 @@
 	"not the primary", "dead", "leaving",
 }
 
-// String names the reason for an operator.
+// String returns a readable description of the reason.
 func (r Reason) String() string { return reasonNames[r] }
 
 func (r Reason) usable() bool { return r == Eligible || r == Unconfirmed }
 
-// Verdict is what was found about one target.
+// Verdict is the evaluation of one target for a request.
 type Verdict struct {
 	Target   topology.TargetID `json:"target"`
 	Primary  bool              `json:"primary"`
 	Position position.Position `json:"position"`
 	Age      time.Duration     `json:"age_ns"`
 	AgeShown bool              `json:"age_shown"`
-	// Wait is the expected time until an answer.
+	// Wait is the expected time until the target answers.
 	Wait time.Duration `json:"wait_ns"`
-	// CatchUp is in how long it is expected to hold the floor, if it is not confirmed.
+	// CatchUp is the expected time until the target holds the floor, if Reason is
+	// Unconfirmed.
 	CatchUp time.Duration `json:"catch_up_ns"`
 	Reason  Reason        `json:"reason"`
 	cost    time.Duration
 }
 
-// Explanation says which target runs a request and why.
+// Explanation describes which target runs a request and why.
 type Explanation struct {
 	Write bool `json:"write"`
-	// Floor is what the target must hold; the pooler checks it before the run.
+	// Floor is the position that the target must hold. The pooler checks it before
+	// it runs the request.
 	Floor position.Position `json:"floor"`
 	// Chosen is empty when the request was refused.
 	Chosen topology.TargetID `json:"chosen"`
-	// Unconfirmed: the chosen replica may answer ReplicaBehind.
+	// Unconfirmed is set when the chosen replica may answer ReplicaBehind.
 	Unconfirmed bool `json:"unconfirmed"`
-	// CatchUp is in how long the chosen one is expected to hold the floor.
+	// CatchUp is the expected time until the chosen target holds the floor.
 	CatchUp time.Duration `json:"catch_up_ns"`
-	// LowerPlace: a read goes to the primary, and there after the writes.
+	// LowerPlace is set for a read that goes to the primary, where it queues behind
+	// the writes.
 	LowerPlace bool `json:"lower_place"`
-	// Spilled: the replicas are overloaded and the primary is idle.
+	// Spilled is set when a read goes to the idle primary because all replicas are
+	// overloaded.
 	Spilled    bool      `json:"spilled"`
 	Candidates []Verdict `json:"candidates"`
 }
 
-// String writes the explanation over several lines, for bts-ctl explain.
+// String formats the explanation on several lines, for bts-ctl explain.
 func (e *Explanation) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "write=%t floor=%s chosen=%s spilled=%t", e.Write, e.Floor, e.Chosen, e.Spilled)
--- a/pkg/routing/fetch.go
+++ b/pkg/routing/fetch.go
@@ -7,39 +7,41 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// FetchKey names what is fetched: the newest position of the group, or with a
-// session the floor of that session.
+// FetchKey identifies what is fetched: the floor of Session or, if Session is
+// empty, the newest position of the group.
 type FetchKey struct {
 	Group   topology.GroupID
 	Session string
 }
 
-// WaiterID names a read that waits for a floor.
+// WaiterID identifies a read that waits for a floor.
 type WaiterID uint64
 
 // StartFetch asks the caller to send a fetch now.
 type StartFetch struct {
 	Key FetchKey
-	// ID comes back with Done; it tells a late answer from the awaited one.
+	// ID is passed to Done, to distinguish a late answer from the awaited one.
 	ID uint64
 }
 
-// Released are the reads whose fetch ended.
+// Released holds the result of a fetch that ended and the reads that waited for
+// it.
 type Released struct {
 	Waiters []WaiterID
 	Floor   position.Position
-	// Begun is when the fetch began: with the newest position it is a Sample.
+	// Begun is when the fetch began. Together with the newest position it makes a
+	// Sample.
 	Begun mono.Time
-	// Err is why the fetch failed; then there is no floor.
+	// Err is set if the fetch failed; Floor is not valid then.
 	Err error
 }
 
 // FloorFetches shares position fetches between reads. A read is served only by
-// a fetch that began after the read arrived: an earlier one may have passed the
-// primary before the session's last write, made through another entry.
+// a fetch that began after the read arrived: an earlier one may have read the
+// primary's position before the session's last write, made through another proxy.
 type FloorFetches struct {
-	lastID uint64
-	keys   map[FetchKey]*fetch
+	lastID  uint64
+	fetches map[FetchKey]*fetch
 }
 
 type fetch struct {
@@ -54,21 +56,21 @@
 	arrived mono.Time
 }
 
-// NewFloorFetches returns a table without fetches.
+// NewFloorFetches returns an empty FloorFetches.
 func NewFloorFetches() *FloorFetches {
-	return &FloorFetches{keys: make(map[FetchKey]*fetch)}
+	return &FloorFetches{fetches: make(map[FetchKey]*fetch)}
 }
 
-// Arrive adds a read. It returns a fetch to start, or nil when the read waits
-// for the one after that in flight.
+// Arrive adds a read. It returns a fetch to start, or nil if one is in flight; the
+// read then waits for the fetch that follows it.
 func (f *FloorFetches) Arrive(now mono.Time, key FetchKey, id WaiterID) *StartFetch {
 	w := waiter{id: id, arrived: now}
-	if running, ok := f.keys[key]; ok {
+	if running, ok := f.fetches[key]; ok {
 		running.next = append(running.next, w)
 		return nil
 	}
 	running := &fetch{next: []waiter{w}}
-	f.keys[key] = running
+	f.fetches[key] = running
 	return f.start(now, key, running)
 }
 
@@ -77,16 +79,16 @@
 	running.id, running.begun = f.lastID, now
 	running.current, running.next = running.next, nil
 	for _, w := range running.current {
-		invariant.Check(!now.Before(w.arrived), "fetch %d began before its read %d", running.id, w.id)
+		invariant.Check(!now.Before(w.arrived), "fetch %d began before read %d, which it serves", running.id, w.id)
 	}
 	return &StartFetch{Key: key, ID: running.id}
 }
 
-// Done ends a fetch: with its floor, or with err when it failed or timed out.
-// Reads that arrived meanwhile get the next fetch, to be started now. A late
-// answer of an ended fetch releases nobody.
+// Done ends a fetch with its floor, or with err if it failed or timed out. If
+// reads arrived meanwhile, it returns the next fetch, which the caller starts
+// now. A late answer to a fetch that already ended releases no reads.
 func (f *FloorFetches) Done(now mono.Time, key FetchKey, id uint64, floor position.Position, err error) (Released, *StartFetch) {
-	running, ok := f.keys[key]
+	running, ok := f.fetches[key]
 	if !ok || running.id != id {
 		return Released{}, nil
 	}
@@ -95,21 +97,21 @@
 		released.Waiters = append(released.Waiters, w.id)
 	}
 	if len(running.next) == 0 {
-		delete(f.keys, key)
+		delete(f.fetches, key)
 		return released, nil
 	}
 	return released, f.start(now, key, running)
 }
 
-// Cancel removes a read whose caller has gone or whose deadline passed.
+// Cancel removes a read whose caller disconnected or whose deadline passed.
 func (f *FloorFetches) Cancel(key FetchKey, id WaiterID) {
-	if running, ok := f.keys[key]; ok {
-		running.current = without(running.current, id)
-		running.next = without(running.next, id)
+	if running, ok := f.fetches[key]; ok {
+		running.current = removeWaiter(running.current, id)
+		running.next = removeWaiter(running.next, id)
 	}
 }
 
-func without(ws []waiter, id WaiterID) []waiter {
+func removeWaiter(ws []waiter, id WaiterID) []waiter {
 	kept := ws[:0]
 	for _, w := range ws {
 		if w.id != id {
--- a/pkg/routing/freshness.go
+++ b/pkg/routing/freshness.go
@@ -1,8 +1,8 @@
-// Package routing decides which target runs a request: what each target is known
-// to hold, how old its data is at most, and what the request needs.
+// Package routing decides which target runs a request, by the position that each
+// target is known to hold, the maximum age of its data, and the request's needs.
 //
-// It does no I/O, reads no clock and draws no random numbers of its own. Nothing
-// in it is safe for concurrent use: the caller locks.
+// It does no I/O, reads no clock and draws no random numbers of its own. Its types
+// are not safe for concurrent use; callers must lock.
 package routing
 
 import (
@@ -16,9 +16,9 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Sample says: at a fetch or request begun at Begun, on the local clock, the
-// primary's newest position was Position. It must come from a pooler that held
-// the right to acknowledge, else a replaced primary would make old data look new.
+// Sample is the primary's newest position, as returned by a fetch or request that
+// began at Begun on the local clock. It must come from a pooler that held the
+// right to acknowledge, else a replaced primary would make old data look new.
 type Sample struct {
 	Begun    mono.Time
 	Position position.Position
@@ -27,42 +27,47 @@
 // Applied is the highest position a target is known to hold.
 type Applied struct {
 	Position position.Position
-	Learnt   mono.Time
-	// seen is when it last answered that it holds no more.
-	seen mono.Time
-	// behind: the target refused a read at this position as ReplicaBehind.
-	behind    position.Position
-	hasBehind bool
+	// Learnt is when the target first reported Position.
+	Learnt mono.Time
+	// lastReport is when the target last indicated that it holds no more than
+	// Position.
+	lastReport mono.Time
+	// behindAt is the position at which the target answered ReplicaBehind. It is
+	// valid if behindSet.
+	behindAt  position.Position
+	behindSet bool
 }
 
-// Freshness tells for one group how old each target's data is at most.
+// Freshness bounds the age of the data of each target of one group.
 type Freshness struct {
 	maxAge     time.Duration
 	resolution time.Duration
 	version    uint64
 	terms      terms
-	// samples ascend in both instant and position: a sample that another one
-	// beats in both shows nothing more.
+	// samples ascend in both start time and position. A sample that began no later
+	// than another one and has no lower position bounds no age any tighter, so it
+	// is not kept.
 	samples []Sample
 	targets map[topology.TargetID]Applied
 }
 
-// NewFreshness keeps samples up to maxAge old, thinned so that a shown age is at
-// most resolution worse than with all of them. Fewer than 4*maxAge/resolution+4
-// samples are held: two neighbouring gaps exceed the resolution, but for a late
-// sample, which must itself follow a gap of more than the resolution.
+// NewFreshness returns a Freshness that keeps samples up to maxAge old, thinned so
+// that a shown age exceeds the one that all samples would show by at most
+// resolution. It holds fewer than 4*maxAge/resolution+4 samples: two neighbouring
+// gaps together exceed the resolution, except around a late sample, which itself
+// must follow a gap of more than the resolution.
 func NewFreshness(maxAge, resolution time.Duration) *Freshness {
 	return &Freshness{maxAge: maxAge, resolution: resolution, targets: make(map[topology.TargetID]Applied)}
 }
 
-// SetGroup takes over the term and the history of the group's row; an older
-// version is ignored. Samples of lost positions are dropped.
+// SetGroup applies the term and the history of the group's row, and drops the
+// samples of lost positions. A row older than the last one is ignored.
 func (f *Freshness) SetGroup(g *topology.Group) {
 	if g.Version < f.version {
 		return
 	}
 	f.version = g.Version
-	f.terms = terms{present: g.Term, history: append(f.terms.history[:0], g.History...)}
+	f.terms = terms{current: g.Term, history: append(f.terms.history[:0], g.History...)}
 	kept := f.samples[:0]
 	for _, s := range f.samples {
 		if f.terms.survives(s.Position) {
@@ -73,28 +78,29 @@
 }
 
 // Holds reports whether a target at p is known to hold all of the log up to want,
-// by the group's row that SetGroup took over.
+// according to the row passed to SetGroup.
 func (f *Freshness) Holds(p, want position.Position) bool { return f.terms.holds(p, want) }
 
-// AddSample notes the primary's newest position. Samples may come in any order.
+// AddSample records a sample of the primary's newest position. Samples may arrive
+// in any order.
 func (f *Freshness) AddSample(s Sample) {
-	if !f.terms.survives(s.Position) || s.Position.Term < f.terms.present {
+	if !f.terms.survives(s.Position) || s.Position.Term < f.terms.current {
 		return
 	}
 	i := sort.Search(len(f.samples), func(i int) bool { return f.samples[i].Begun >= s.Begun })
 	if i < len(f.samples) && !s.Position.Less(f.samples[i].Position) {
-		return // A later fetch saw no more than this one.
+		return // A later fetch returned the same or a lower position.
 	}
 	from := i
 	for from > 0 && !f.samples[from-1].Position.Less(s.Position) {
-		from-- // An earlier fetch saw no less than this one.
+		from-- // An earlier fetch returned the same or a higher position.
 	}
 	if i < len(f.samples) && f.samples[i].Begun == s.Begun {
-		i++ // Of two fetches begun at once, this one saw less.
+		i++ // Of two fetches that began at the same time, this one returned the lower position.
 	}
 	late := i < len(f.samples)
 	if late && from == i && from > 0 && s.Begun.Sub(f.samples[from-1].Begun) <= f.resolution {
-		return // The one before shows its age within the resolution.
+		return // The preceding sample shows the same age within the resolution.
 	}
 	f.samples = slices.Replace(f.samples, from, i, s)
 	f.thin()
@@ -102,9 +108,9 @@
 	f.check()
 }
 
-// thin drops the sample before the newest when the one before that still shows
-// its age within the resolution. The kept one is not dropped for a later sample,
-// so the error does not add up.
+// thin drops the second newest sample if the third newest shows its age within
+// the resolution. The third newest is never dropped because of a later sample, so
+// the errors do not accumulate.
 func (f *Freshness) thin() {
 	n := len(f.samples)
 	if n < 3 || f.samples[n-1].Begun.Sub(f.samples[n-3].Begun) > f.resolution {
@@ -135,8 +141,9 @@
 	}
 }
 
-// ShownAge returns a bound on the age of the target's data, and false if none
-// can be shown: all that was committed when the sample's fetch began is held.
+// ShownAge returns an upper bound on the age of the target's data, and false if no
+// sample shows one. A target that holds a sample's position holds all that was
+// committed when the sample's fetch began.
 func (f *Freshness) ShownAge(target topology.TargetID, now mono.Time) (time.Duration, bool) {
 	applied, ok := f.targets[target]
 	if !ok {
@@ -150,8 +157,9 @@
 	return 0, false
 }
 
-// AgeFloor turns an age into a position: a target that holds it shows an age of
-// at most staleness. It returns false when no sample is young enough.
+// AgeFloor converts an age into a position: the data of a target that holds the
+// position is at most staleness old. It returns false when no sample is recent
+// enough.
 func (f *Freshness) AgeFloor(staleness time.Duration, now mono.Time) (position.Position, bool) {
 	i := sort.Search(len(f.samples), func(i int) bool { return now.Sub(f.samples[i].Begun) <= staleness })
 	if i == len(f.samples) {
@@ -160,7 +168,8 @@
 	return f.samples[i].Position, true
 }
 
-// Newest returns the newest position that the primary is known to have held; zero: none is.
+// Newest returns the newest position that the primary is known to have held, or
+// the zero position if none is known.
 func (f *Freshness) Newest() position.Position {
 	if len(f.samples) == 0 {
 		return position.Position{}
@@ -168,7 +177,8 @@
 	return f.samples[len(f.samples)-1].Position
 }
 
-// NewestSample returns the sample that was begun last; false: there is none.
+// NewestSample returns the sample whose fetch began last, and false if there is
+// none.
 func (f *Freshness) NewestSample() (Sample, bool) {
 	if len(f.samples) == 0 {
 		return Sample{}, false
@@ -176,5 +186,5 @@
 	return f.samples[len(f.samples)-1], true
 }
 
-// Samples returns how many samples are held.
+// Samples returns the number of samples held.
 func (f *Freshness) Samples() int { return len(f.samples) }
--- a/pkg/routing/polling_test.go
+++ b/pkg/routing/polling_test.go
@@ -13,30 +13,30 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// learning is one entry's way to learn positions of one group.
-type learning struct {
-	// riding: positions come with answers, and a fetch is sent only when no
-	// sample is younger than half of the staleness.
-	riding bool
-	// poll is the interval at which all three targets are asked.
+// learningMode is how one proxy learns the positions of one group.
+type learningMode struct {
+	// piggyback is set when positions come with answers and a fetch is sent only
+	// when no sample is younger than half of the staleness.
+	piggyback bool
+	// poll is the interval at which all three targets are polled.
 	poll mono.Time
 }
 
-// learned is what a way of learning got for its messages.
-type learned struct {
+// learnStats counts the reads and the messages that a mode sent for them.
+type learnStats struct {
 	reads, confirmed, messages int
-	// behind are the reads whose replica did not yet hold the floor.
+	// behind counts the reads whose replica did not yet hold the floor.
 	behind int
 }
 
-// learn runs an entry's reads of stated staleness in virtual time. Replicas lag
-// by a drawn time; a tenth of the entry's requests are writes.
-func learn(way learning, perSecond int, staleness time.Duration) learned {
+// simulateReads runs one proxy's reads of the given staleness in virtual time.
+// Each replica has a fixed lag; a tenth of the requests are writes.
+func simulateReads(mode learningMode, perSecond int, staleness time.Duration) learnStats {
 	random := rand.New(rand.NewPCG(1, 1))
 	f := routing.NewFreshness(time.Second, 10*time.Millisecond)
 	lag := map[topology.TargetID]mono.Time{"primary": 0, "r1": 20 * ms, "r2": 60 * ms}
 	targets := []routing.Candidate{{Target: "primary", Primary: true}, {Target: "r1", SameDC: true}, {Target: "r2"}}
-	var out learned
+	var out learnStats
 	applied := func(t topology.TargetID, now mono.Time) uint64 { return uint64(max(now-lag[t], 0)/(5*ms)) + 1 }
 	ask := func(t topology.TargetID, now mono.Time) {
 		f.Learn(t, at(1, applied(t, now)), now)
@@ -45,7 +45,7 @@
 		}
 	}
 	for now := ms; now < 60_000*ms; now += ms {
-		if !way.riding && now%way.poll == 0 {
+		if !mode.piggyback && now%mode.poll == 0 {
 			out.messages += len(targets)
 			for i := range targets {
 				ask(targets[i].Target, now)
@@ -55,12 +55,12 @@
 			continue
 		}
 		if random.IntN(10) == 0 {
-			if way.riding {
+			if mode.piggyback {
 				ask("primary", now)
 			}
 			continue
 		}
-		if _, ok := f.AgeFloor(staleness/2, now); way.riding && !ok {
+		if _, ok := f.AgeFloor(staleness/2, now); mode.piggyback && !ok {
 			out.messages++
 			ask("primary", now)
 		}
@@ -73,7 +73,7 @@
 		if applied(e.Chosen, now) < e.Floor.Index {
 			out.behind++
 		}
-		if way.riding {
+		if mode.piggyback {
 			ask(e.Chosen, now)
 		}
 	}
@@ -84,18 +84,18 @@
 	for _, perSecond := range []int{1, 10, 100} {
 		It(fmt.Sprintf("at %d requests a second", perSecond), func() {
 			const staleness = 500 * time.Millisecond
-			riding := learn(learning{riding: true}, perSecond, staleness)
-			GinkgoWriter.Printf("learnt riding    %+v\n", riding)
+			piggyback := simulateReads(learningMode{piggyback: true}, perSecond, staleness)
+			GinkgoWriter.Printf("from answers %+v\n", piggyback)
 			for _, poll := range []mono.Time{100 * ms, 200 * ms, 400 * ms} {
-				polled := learn(learning{poll: poll}, perSecond, staleness)
-				GinkgoWriter.Printf("learnt poll=%4d %+v\n", poll/ms, polled)
-				Expect(riding.messages).To(BeNumerically("<", polled.messages))
+				polled := simulateReads(learningMode{poll: poll}, perSecond, staleness)
+				GinkgoWriter.Printf("poll=%4d ms %+v\n", poll/ms, polled)
+				Expect(piggyback.messages).To(BeNumerically("<", polled.messages))
 			}
-			// With less traffic a sample is as new as the read, and no lagging
-			// replica holds it yet.
+			// With less traffic the newest sample is fetched for the read itself, so no
+			// lagging replica holds its position yet.
 			if perSecond >= 10 {
-				Expect(riding.confirmed).To(BeNumerically(">=", riding.reads*85/100))
-				Expect(riding.behind).To(BeNumerically("<=", riding.reads*5/100))
+				Expect(piggyback.confirmed).To(BeNumerically(">=", piggyback.reads*85/100))
+				Expect(piggyback.behind).To(BeNumerically("<=", piggyback.reads*5/100))
 			}
 		})
 	}
--- a/pkg/routing/routing_test.go
+++ b/pkg/routing/routing_test.go
@@ -31,7 +31,7 @@
 func at(term, index uint64) position.Position { return position.Position{Term: term, Index: index} }
 
 var _ = Describe("Freshness", func() {
-	It("never claims an age younger than the truth, nor far older than can be shown", func() {
+	It("never shows an age below the real one, nor far above what the samples allow", func() {
 		const maxAge, resolution = 1000 * time.Millisecond, 50 * time.Millisecond
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			f := routing.NewFreshness(maxAge, resolution)
@@ -52,7 +52,7 @@
 				f.Learn("r1", at(1, held), now)
 				age, ok := f.ShownAge("r1", now)
 				if ok && held < uint64(len(commits)) && age < now.Sub(commits[held]) {
-					t.Fatalf("claims %v, but a commit of %v ago is missing", age, now.Sub(commits[held]))
+					t.Fatalf("shown age %v, but a commit from %v ago is missing", age, now.Sub(commits[held]))
 				}
 				best := mono.Time(-1)
 				for _, s := range all {
@@ -61,7 +61,7 @@
 					}
 				}
 				if best >= 0 && now.Sub(best) < maxAge && (!ok || age > now.Sub(best)+resolution) {
-					t.Fatalf("shows %v %t of %v", age, ok, now.Sub(best))
+					t.Fatalf("shown age %v (%t); the samples allow %v", age, ok, now.Sub(best))
 				}
 			}
 			if f.Samples() >= int(4*maxAge/resolution)+4 {
@@ -70,9 +70,9 @@
 		})
 	})
 
-	// The primary of term 1 dies after 1/100; the new one held only 1/90. A replica
-	// that ran to 1/95 holds data that is lost, and one at 1/80 may hold all that
-	// survived so far but nothing of term 2. Neither may claim an age from term 2.
+	// The primary of term 1 fails after 1/100; the new one held only 1/90. A replica
+	// that applied up to 1/95 holds lost writes; one at 1/80 holds a prefix of the
+	// surviving log but nothing of term 2. Neither may show an age from term 2.
 	DescribeTable("compares positions of two terms", func(p, want position.Position, holds bool) {
 		g := &topology.Group{Term: 2, Version: 1, History: []topology.TermEnd{{Term: 1, End: at(1, 90)}}}
 		Expect(routing.Holds(g, p, want)).To(Equal(holds))
@@ -81,31 +81,32 @@
 		Expect(f.Holds(p, want)).To(Equal(holds))
 	},
 		Entry("same term", at(2, 95), at(2, 95), true),
-		Entry("later term holds what survived", at(2, 91), at(1, 90), true),
-		Entry("nobody holds what was lost", at(2, 99), at(1, 91), false),
-		Entry("earlier term shows nothing of later writes", at(1, 90), at(2, 91), false),
-		Entry("earlier term is whole when nothing was written since", at(1, 90), at(2, 90), true),
-		Entry("a replica past its term's end has another history", at(1, 95), at(1, 80), false),
-		Entry("nor does it serve a read without a floor", at(1, 95), at(0, 0), false),
-		Entry("a term later than the row shows nothing of the present one", at(3, 95), at(2, 80), false),
+		Entry("a later term holds the surviving writes", at(2, 91), at(1, 90), true),
+		Entry("no target holds lost writes", at(2, 99), at(1, 91), false),
+		Entry("an earlier term does not hold later writes", at(1, 90), at(2, 91), false),
+		Entry("an earlier term holds everything when nothing was written since", at(1, 90), at(2, 90), true),
+		Entry("a replica past the end of its term has a diverged history", at(1, 95), at(1, 80), false),
+		Entry("a replica past the end of its term does not hold the zero floor", at(1, 95), at(0, 0), false),
+		Entry("a term later than the row is not known to hold the current one", at(3, 95), at(2, 80), false),
 	)
 })
 
 var _ = Describe("FloorFetches", func() {
-	// A clerk writes through another entry while a fetch of this entry is under
-	// way; the fetch may have passed the primary before. A read that arrives now
-	// and took its answer would miss the write, so it waits for the next fetch.
+	// A session writes through another proxy while a fetch of this proxy is in
+	// flight. The fetch may have read the primary's position before the write, so a
+	// read that arrives now and used the answer could miss the write. It has to wait
+	// for the next fetch.
 	It("serves a read only by a fetch that began after it arrived", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			f := routing.NewFloorFetches()
 			key := routing.FetchKey{Group: "quota/1"}
 			arrived := map[routing.WaiterID]mono.Time{}
-			var flying *routing.StartFetch
+			var inFlight *routing.StartFetch
 			begin := func(s *routing.StartFetch) {
-				if s != nil && flying != nil {
+				if s != nil && inFlight != nil {
 					t.Fatalf("two fetches in flight")
 				}
-				flying = s
+				inFlight = s
 			}
 			var id routing.WaiterID
 			for now := mono.Time(1); now < 200; now++ {
@@ -117,16 +118,16 @@
 					}
 					continue
 				}
-				if flying == nil {
+				if inFlight == nil {
 					continue
 				}
-				done := flying.ID
-				flying = nil
+				done := inFlight.ID
+				inFlight = nil
 				released, next := f.Done(now, key, done, at(1, uint64(now)), nil)
 				begin(next)
 				for _, w := range released.Waiters {
 					if released.Begun < arrived[w] {
-						t.Fatalf("read of %v served by a fetch of %v", arrived[w], released.Begun)
+						t.Fatalf("read that arrived at %v served by a fetch begun at %v", arrived[w], released.Begun)
 					}
 					delete(arrived, w)
 				}
@@ -134,81 +135,81 @@
 					t.Fatalf("a late answer released reads")
 				}
 			}
-			if flying == nil && len(arrived) > 0 {
-				t.Fatalf("%d reads wait for nothing", len(arrived))
+			if inFlight == nil && len(arrived) > 0 {
+				t.Fatalf("%d reads wait without a fetch in flight", len(arrived))
 			}
 		})
 	})
 })
 
-func first(p position.Position, _ bool) position.Position { return p }
+func positionOf(p position.Position, _ bool) position.Position { return p }
 
-// drawnPooler is one of two poolers that are at work on one primary.
-type drawnPooler struct {
-	floors  *routing.SessionFloors
-	flights []drawnWrite
+// simulatedPooler is one of two poolers that write to one primary.
+type simulatedPooler struct {
+	floors   *routing.SessionFloors
+	inFlight []simulatedWrite
 }
 
-type drawnWrite struct {
+type simulatedWrite struct {
 	session string
 	at      position.Position
 }
 
 var _ = Describe("SessionFloors", func() {
-	// Two poolers believe for a while that the primary is theirs. Each sees only
-	// its own completions, out of order, and forgets sessions; terms change. The
-	// caller must still never read below its last acknowledged write.
+	// Two poolers write to the same primary for a while. Each sees only its own
+	// completions, out of order, and evicts sessions; terms change. A session must
+	// still never read below its last acknowledged write.
 	It("never returns less than the session's last acknowledged write", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			poolers := []*drawnPooler{}
+			poolers := []*simulatedPooler{}
 			for range 2 {
 				capacity := rapid.IntRange(1, 4).Draw(t, "capacity")
-				poolers = append(poolers, &drawnPooler{floors: routing.NewSessionFloors(capacity, 20)})
+				poolers = append(poolers, &simulatedPooler{floors: routing.NewSessionFloors(capacity, 20)})
 			}
-			newest, truth := at(1, uint64(rapid.IntRange(0, 9).Draw(t, "start"))), map[string]position.Position{}
+			newest, acknowledged := at(1, uint64(rapid.IntRange(0, 9).Draw(t, "start"))), map[string]position.Position{}
 			sessions := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"})
 			for now := mono.Time(0); now < 150; now++ {
 				p := poolers[rapid.IntRange(0, 1).Draw(t, "pooler")]
 				switch rapid.IntRange(0, 9).Draw(t, "step") {
-				case 0, 1, 2: // A commit; its completion is on the way.
+				case 0, 1, 2: // A commit whose completion is outstanding.
 					newest.Index++
-					p.flights = append(p.flights, drawnWrite{sessions.Draw(t, "session"), newest})
+					p.inFlight = append(p.inFlight, simulatedWrite{sessions.Draw(t, "session"), newest})
 				case 3, 4, 5, 6: // A completion arrives, in any order, and is acknowledged.
-					if len(p.flights) == 0 {
+					if len(p.inFlight) == 0 {
 						continue
 					}
-					i := rapid.IntRange(0, len(p.flights)-1).Draw(t, "flight")
-					w := p.flights[i]
-					p.flights = append(p.flights[:i], p.flights[i+1:]...)
+					i := rapid.IntRange(0, len(p.inFlight)-1).Draw(t, "flight")
+					w := p.inFlight[i]
+					p.inFlight = append(p.inFlight[:i], p.inFlight[i+1:]...)
 					p.floors.Completed(w.session, w.at, now)
-					truth[w.session] = position.Max(truth[w.session], w.at)
+					acknowledged[w.session] = position.Max(acknowledged[w.session], w.at)
 				case 7:
 					p.floors.Tick(now)
 				case 8:
 					if rapid.IntRange(0, 9).Draw(t, "promotion") == 0 {
 						newest.Term++
 						newest.Index -= min(newest.Index, uint64(rapid.IntRange(0, 2).Draw(t, "lost")))
-						poolers[0].flights, poolers[1].flights = nil, nil
+						poolers[0].inFlight, poolers[1].inFlight = nil, nil
 					}
 				}
 				s := sessions.Draw(t, "reader")
 				floor, ok := p.floors.Floor(s, newest)
-				if ok && floor.Less(truth[s]) {
-					t.Fatalf("floor %v of %s, which wrote %v; newest %v", floor, s, truth[s], newest)
+				if ok && floor.Less(acknowledged[s]) {
+					t.Fatalf("floor %v of %s, which wrote %v; newest %v", floor, s, acknowledged[s], newest)
 				}
 			}
 		})
 	})
 
-	It("lets a session that wrote nothing of late read below the newest position", func() {
+	It("lets a session without recent writes read below the newest position", func() {
 		f := routing.NewSessionFloors(8, time.Second)
 		f.Floor("clerk", at(1, 10))
 		f.Completed("clerk", at(1, 11), 0)
 		f.Completed("broker", at(1, 13), 0)
-		Expect(first(f.Floor("clerk", at(1, 13)))).To(Equal(at(1, 13)), "12 may be another pooler's")
+		Expect(positionOf(f.Floor("clerk", at(1, 13)))).To(Equal(at(1, 13)), "12 may be another pooler's")
 		f.Completed("broker", at(1, 12), 0)
-		Expect(first(f.Floor("clerk", at(1, 13)))).To(Equal(at(1, 11)))
-		Expect(first(f.Floor("skipper", at(1, 13)))).To(Equal(at(1, 10)))
+		Expect(positionOf(f.Floor("clerk", at(1, 13)))).To(Equal(at(1, 11)))
+		Expect(positionOf(f.Floor("skipper", at(1, 13)))).To(Equal(at(1, 10)))
 	})
 })
 
@@ -241,7 +242,7 @@
 		Expect(choose(read)).To(BeEquivalentTo("far"))
 	})
 
-	It("avoids a replica that answered that it is behind, until it moves", func() {
+	It("avoids a replica that answered that it is behind until its position advances", func() {
 		read.Floor = at(1, 101)
 		f.MarkBehind("near", at(1, 100), 0)
 		Expect(choose(read)).To(BeEquivalentTo("far"))
@@ -249,7 +250,7 @@
 		Expect(choose(read)).To(BeEquivalentTo("near"))
 	})
 
-	It("takes the primary when no age is shown, and refuses when it is dead too", func() {
+	It("picks the primary when no age is shown, and refuses when the primary is dead too", func() {
 		fresh := routing.Request{Staleness: time.Millisecond}
 		Expect(choose(fresh)).To(BeEquivalentTo("primary"))
 		targets[0].State = routing.Dead
--- a/pkg/routing/sessionfloors.go
+++ b/pkg/routing/sessionfloors.go
@@ -9,31 +9,34 @@
 	"github.com/buckthornshore/buckthornshore/pkg/position"
 )
 
-// SessionFloors is what the primary's pooler knows of each session's last write,
-// so that a roaming session waits for its own write rather than for the group's
-// newest.
+// SessionFloors tracks each session's last write in the pooler of the primary, so
+// that a session that moves to another proxy waits for its own last write rather
+// than for the group's newest.
 //
-// Another pooler may be at work for a moment. The log's index is dense, so its
-// writes show as indexes that no completion of this pooler accounts for; while
-// there is such a gap up to the newest position, the floor is the newest.
+// During a change of poolers, another pooler may write to the primary for a short
+// time. Log indexes are dense, so its writes appear as indexes that no completion
+// of this pooler accounts for. While there is such a gap up to the newest
+// position, the floor is the newest position.
 //
-// Positions given to Completed must be those of the commit itself.
+// Positions passed to Completed must be those of the commit itself.
 type SessionFloors struct {
-	capacity int
-	gapAge   time.Duration
-	term     uint64
-	// low: every session may have written up to here.
-	low uint64
-	// accounted: each index after low and up to here is a write of this pooler.
+	capacity  int
+	maxGapAge time.Duration
+	term      uint64
+	// lowWater is the low-water mark: any session may have written up to this
+	// index.
+	lowWater uint64
+	// accounted is the highest index up to which each index after lowWater is a
+	// write of this pooler.
 	accounted uint64
-	// seen is the highest index completed.
-	seen uint64
+	// highest is the highest completed index.
+	highest uint64
 	// pending holds the completed indexes after a gap.
 	pending map[uint64]struct{}
-	// gapSince is when the first gap opened, or last moved.
+	// gapSince is when the first gap opened or last advanced.
 	gapSince mono.Time
 	sessions map[string]*list.Element
-	// recent orders the sessions by their last write, latest first.
+	// recent lists the sessions by their last write, latest first.
 	recent *list.List
 }
 
@@ -42,43 +45,45 @@
 	index   uint64
 }
 
-// NewSessionFloors tracks up to capacity sessions. A gap older than gapAge is
-// given up: gapAge should exceed the time that completions overtake each other.
-func NewSessionFloors(capacity int, gapAge time.Duration) *SessionFloors {
+// NewSessionFloors returns a SessionFloors that tracks up to capacity sessions.
+// After maxGapAge a gap is attributed to another pooler; maxGapAge should exceed
+// the time by which completions arrive out of order.
+func NewSessionFloors(capacity int, maxGapAge time.Duration) *SessionFloors {
 	invariant.Check(capacity > 0, "capacity %d", capacity)
-	f := &SessionFloors{capacity: capacity, gapAge: gapAge}
+	f := &SessionFloors{capacity: capacity, maxGapAge: maxGapAge}
 	f.reset(position.Position{})
 	return f
 }
 
-// reset begins a term. What was written before is not known, so the low-water
-// mark is the first position seen.
+// reset begins a term. Earlier writes are not known, so the low-water mark is the
+// first position seen.
 func (f *SessionFloors) reset(first position.Position) {
 	f.term = first.Term
-	f.low, f.accounted, f.seen = first.Index, first.Index, first.Index
+	f.lowWater, f.accounted, f.highest = first.Index, first.Index, first.Index
 	f.pending = make(map[uint64]struct{})
 	f.sessions = make(map[string]*list.Element)
 	f.recent = list.New()
 }
 
-// Completed notes a write of this pooler, before it is acknowledged; session is
-// empty for a session without an id. Completions may come out of order.
+// Completed records a write of this pooler. It must be called before the write is
+// acknowledged; session is empty for a session without an ID. Completions may
+// arrive out of order.
 func (f *SessionFloors) Completed(session string, p position.Position, now mono.Time) {
 	if p.Term < f.term {
-		return // Below the low-water mark of the present term.
+		return // Below the low-water mark of the current term.
 	}
 	if p.Term > f.term {
 		f.reset(p)
 	}
 	f.account(p.Index, now)
 	if session != "" {
-		f.remember(session, p.Index)
+		f.recordWrite(session, p.Index)
 	}
 	f.check()
 }
 
 func (f *SessionFloors) account(index uint64, now mono.Time) {
-	f.seen = max(f.seen, index)
+	f.highest = max(f.highest, index)
 	if index <= f.accounted {
 		return
 	}
@@ -94,7 +99,8 @@
 	}
 }
 
-// advance joins pending indexes that follow the accounted ones.
+// advance moves accounted over the pending indexes that follow it, and reports
+// whether it moved.
 func (f *SessionFloors) advance() bool {
 	moved := false
 	for {
@@ -107,28 +113,29 @@
 	}
 }
 
-// giveUpGaps takes every index seen as possibly another pooler's. Raising the
-// mark over the gaps alone would do, but means keeping each gap's age; this costs
-// the sessions that wrote last a wait for the highest index seen.
+// giveUpGaps treats every index seen as possibly another pooler's write. It would
+// be enough to raise the mark over the old gaps, but that requires the age of each
+// gap. The price is that sessions that wrote recently wait for the highest index
+// seen.
 func (f *SessionFloors) giveUpGaps() {
-	f.raiseLow(f.seen)
+	f.raiseLowWater(f.highest)
 }
 
-func (f *SessionFloors) raiseLow(index uint64) {
-	f.low = max(f.low, index)
-	if f.low <= f.accounted {
+func (f *SessionFloors) raiseLowWater(index uint64) {
+	f.lowWater = max(f.lowWater, index)
+	if f.lowWater <= f.accounted {
 		return
 	}
-	f.accounted = f.low
+	f.accounted = f.lowWater
 	for i := range f.pending {
-		if i <= f.low {
+		if i <= f.lowWater {
 			delete(f.pending, i)
 		}
 	}
 	f.advance()
 }
 
-func (f *SessionFloors) remember(session string, index uint64) {
+func (f *SessionFloors) recordWrite(session string, index uint64) {
 	if e, ok := f.sessions[session]; ok {
 		w := e.Value.(*sessionWrite)
 		w.index = max(w.index, index)
@@ -139,15 +146,16 @@
 	if f.recent.Len() <= f.capacity {
 		return
 	}
-	// A forgotten session is one that wrote before the low-water mark.
+	// The mark is raised because a session that is not tracked counts as one that
+	// wrote up to the low-water mark.
 	oldest := f.recent.Remove(f.recent.Back()).(*sessionWrite)
 	delete(f.sessions, oldest.session)
-	f.raiseLow(oldest.index)
+	f.raiseLowWater(oldest.index)
 }
 
-// Tick gives up gaps that are too old to be completions on their way.
+// Tick gives up gaps that are too old to be filled by outstanding completions.
 func (f *SessionFloors) Tick(now mono.Time) {
-	if len(f.pending) > 0 && now.Sub(f.gapSince) > f.gapAge {
+	if len(f.pending) > 0 && now.Sub(f.gapSince) > f.maxGapAge {
 		f.giveUpGaps()
 	}
 	f.check()
@@ -156,7 +164,7 @@
 // Floor returns a position at or after the session's last acknowledged write.
 // newest must be the primary's newest position, read after the request for the
 // floor arrived. It returns false when newest is of an earlier term: a promotion
-// overtook the read, so newest has to be read again.
+// took place after the read, so newest has to be read again.
 func (f *SessionFloors) Floor(session string, newest position.Position) (position.Position, bool) {
 	if newest.Term < f.term {
 		return position.Position{}, false
@@ -165,7 +173,7 @@
 		f.reset(newest)
 		return newest, true
 	}
-	floor := f.low
+	floor := f.lowWater
 	if e, ok := f.sessions[session]; ok {
 		floor = max(floor, e.Value.(*sessionWrite).index)
 	}
@@ -176,8 +184,8 @@
 }
 
 func (f *SessionFloors) check() {
-	if f.low > f.accounted || f.accounted > f.seen {
-		invariant.Check(false, "low %d accounted %d seen %d", f.low, f.accounted, f.seen)
+	if f.lowWater > f.accounted || f.accounted > f.highest {
+		invariant.Check(false, "low-water mark %d, accounted %d, highest %d", f.lowWater, f.accounted, f.highest)
 	}
 	if n := f.recent.Len(); n != len(f.sessions) || n > f.capacity {
 		invariant.Check(false, "%d sessions listed, %d indexed", n, len(f.sessions))
