--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -25,26 +25,27 @@
 
 const ms = mono.Time(time.Millisecond)
 
-// fate follows each request to its one end.
-type fate struct {
+// requestTracker checks that each request ends exactly once: it starts, is refused
+// or is cancelled.
+type requestTracker struct {
 	*rapid.T
 	waiting map[uint64]admission.Request
 	running map[uint64]admission.Request
 }
 
-func (f *fate) answered(answers []admission.Answer) {
+func (f *requestTracker) answered(answers []admission.Answer) {
 	for _, a := range answers {
 		if _, ok := f.waiting[a.ID]; !ok {
-			f.Fatalf("request %d answered %v, but it did not wait", a.ID, a.Err)
+			f.Fatalf("request %d was answered %v but was not waiting", a.ID, a.Err)
 		}
 		if a.Err.RetryAfter <= 0 || a.Err.Ran != result.NotRun {
-			f.Fatalf("answer %v", a.Err)
+			f.Fatalf("answer without a retry delay, or not marked as not run: %v", a.Err)
 		}
 		delete(f.waiting, a.ID)
 	}
 }
 
-func (f *fate) next(q *admission.Queue, now mono.Time) {
+func (f *requestTracker) next(q *admission.Queue, now mono.Time) {
 	start, expired := q.Next(now)
 	f.answered(expired)
 	for _, r := range start {
@@ -62,7 +63,7 @@
 }
 
 var _ = Describe("Queue", func() {
-	It("gives each request one end, whatever happens in what order", func() {
+	It("ends each request exactly once, for any order of events", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			draw := func(n int, what string) int { return rapid.IntRange(0, n-1).Draw(t, what) }
 			limits := func() admission.Limits {
@@ -73,7 +74,7 @@
 			}
 			l := limits()
 			q := admission.NewQueue(l)
-			f := &fate{T: t, waiting: map[uint64]admission.Request{}, running: map[uint64]admission.Request{}}
+			f := &requestTracker{T: t, waiting: map[uint64]admission.Request{}, running: map[uint64]admission.Request{}}
 			open := map[uint64]bool{}
 			now := mono.Time(0)
 			for id := uint64(1); id < 120; id++ {
@@ -90,14 +91,14 @@
 					shed, err := q.Enqueue(now, r)
 					for _, a := range shed {
 						if f.waiting[a.ID].Priority <= r.Priority {
-							t.Fatalf("request %d shed for one no more urgent", a.ID)
+							t.Fatalf("request %d displaced by one that is not more urgent", a.ID)
 						}
 					}
 					f.answered(shed)
 					if err == nil {
 						f.waiting[id] = r
 					} else if result.From(err).RetryAfter <= 0 {
-						t.Fatalf("refused without a time to come back: %v", err)
+						t.Fatalf("refused without a retry delay: %v", err)
 					}
 				case 4, 5:
 					for running, r := range f.running {
@@ -120,13 +121,13 @@
 					l = limits()
 					f.answered(q.SetLimits(l))
 					if q.Waiting() > l.Queue {
-						t.Fatalf("%d wait of %d", q.Waiting(), l.Queue)
+						t.Fatalf("%d requests wait, the limit is %d", q.Waiting(), l.Queue)
 					}
 				}
 				before := len(f.running)
 				f.next(q, now)
 				if len(f.running) > max(before, l.Slots) || q.Running() != len(f.running) || q.Waiting() != len(f.waiting) {
-					t.Fatalf("%d of %d run, %d wait", len(f.running), l.Slots, len(f.waiting))
+					t.Fatalf("%d requests run in %d slots, %d wait", len(f.running), l.Slots, len(f.waiting))
 				}
 			}
 		})
@@ -184,7 +185,7 @@
 		Expect(served["kalakvoot"]).To(BeNumerically("~", 30, 1))
 	})
 
-	It("runs an open transaction's request before new ones, and bounds open ones", func() {
+	It("runs a request of an open transaction before new ones, and bounds open transactions", func() {
 		opens := request("m", admission.Normal)
 		opens.Transaction, opens.Opens = 1, true
 		enqueue(opens)
@@ -203,10 +204,11 @@
 		Expect(serve().ID).To(Equal(second.ID))
 	})
 
-	// List checks of one member fill its share of the queue. Its confirmation
-	// arrives and must not be turned away: the youngest list check gets its final
-	// answer at once, which says that it has not run and when to come back.
-	DescribeTable("sheds the youngest of the least urgent for an urgent request", func(queue, member int) {
+	// Background requests of one member fill its share of the queue, and then an
+	// urgent request of the member arrives. It must not be refused: the youngest
+	// background request gets its final answer at once, with a retry delay and the
+	// information that it was not run.
+	DescribeTable("displaces the youngest of the least urgent requests for an urgent one", func(queue, member int) {
 		l := limits
 		l.Queue, l.MemberQueue = queue, member
 		q.SetLimits(l)
@@ -222,10 +224,10 @@
 		Expect(result.From(err).Code).To(BeElementOf(result.QueueFull, result.MemberLimit))
 	},
 		Entry("when the queue is full", 3, 100),
-		Entry("when the member's part is full", 100, 3),
+		Entry("when the member's limit is reached", 100, 3),
 	)
 
-	It("takes the commit of an open transaction though the queue is full", func() {
+	It("admits the commit of an open transaction although the queue is full", func() {
 		l := limits
 		l.Queue, l.MemberQueue, l.ClassQueue = 1, 1, 1
 		q.SetLimits(l)
@@ -236,7 +238,7 @@
 		Expect(serve().ID).To(Equal(commit.ID))
 	})
 
-	It("refuses at once what would miss its deadline in the queue", func() {
+	It("refuses at once a request that would miss its deadline in the queue", func() {
 		for range 20 {
 			enqueue(request("m", admission.Normal))
 		}
--- a/pkg/admission/estimate.go
+++ b/pkg/admission/estimate.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// firstService is taken before anything was measured.
-	firstService = 5 * time.Millisecond
-	// newWeight is the weight of the newest measurement in an average.
-	newWeight = 0.1
-	// reserveAt: slots are reserved while at least this many urgent requests
-	// arrive in the time that a less urgent one holds a slot.
-	reserveAt = 0.25
+	// defaultService is the service time assumed before any measurement.
+	defaultService = 5 * time.Millisecond
+	// sampleWeight is the weight of the newest measurement in an average.
+	sampleWeight = 0.1
+	// reserveThreshold is the number of urgent requests expected to arrive while a
+	// less urgent one holds a slot, at or above which slots are reserved.
+	reserveThreshold = 0.25
 )
 
 // average is an exponentially weighted moving average.
@@ -27,15 +27,16 @@
 		a.value, a.known = d, true
 		return
 	}
-	a.value += time.Duration(newWeight * float64(d-a.value))
+	a.value += time.Duration(sampleWeight * float64(d-a.value))
 }
 
-// estimates are what the queue measured of its target.
+// estimates holds the queue's measurements of its target.
 type estimates struct {
 	classes map[string]*average
-	// low is the service time below Urgent.
-	low average
-	// urgentGap is the time between urgent arrivals, the last one at lastUrgent.
+	// lowerService is the service time of priorities below Urgent.
+	lowerService average
+	// urgentGap is the time between urgent arrivals, the last of which was at
+	// lastUrgent.
 	urgentGap  average
 	lastUrgent mono.Time
 	urgentSeen bool
@@ -48,9 +49,10 @@
 	if r.Service > 0 {
 		return r.Service
 	}
-	return firstService
+	return defaultService
 }
 
+// ran records that a request held a slot for d.
 func (s *estimates) ran(r *Request, d time.Duration) {
 	a, ok := s.classes[r.Class]
 	if !ok {
@@ -59,10 +61,11 @@
 	}
 	a.add(d)
 	if r.Priority != Urgent {
-		s.low.add(d)
+		s.lowerService.add(d)
 	}
 }
 
+// arrived records the arrival of a request.
 func (s *estimates) arrived(r *Request, now mono.Time) {
 	if r.Priority != Urgent {
 		return
@@ -73,16 +76,17 @@
 	s.lastUrgent, s.urgentSeen = now, true
 }
 
-// urgentOften reports whether a less urgent request that takes a slot is likely
-// to make an urgent one wait. Silence counts: it ends the reservation.
-func (s *estimates) urgentOften(now mono.Time) bool {
+// urgentFrequent reports whether a less urgent request that takes a slot is likely
+// to make an urgent one wait. The time since the last urgent arrival counts as a
+// gap, so that the reservation ends when urgent requests stop.
+func (s *estimates) urgentFrequent(now mono.Time) bool {
 	if !s.urgentGap.known {
 		return false
 	}
-	low := firstService
-	if s.low.known {
-		low = s.low.value
+	lowerService := defaultService
+	if s.lowerService.known {
+		lowerService = s.lowerService.value
 	}
 	gap := max(s.urgentGap.value, now.Sub(s.lastUrgent))
-	return float64(low) >= reserveAt*float64(gap)
+	return float64(lowerService) >= reserveThreshold*float64(gap)
 }
--- a/pkg/admission/level.go
+++ b/pkg/admission/level.go
@@ -6,18 +6,18 @@
 	"github.com/buckthornshore/buckthornshore/pkg/mono"
 )
 
-// entry is a request that waits.
+// entry is a waiting request.
 type entry struct {
 	Request
 	arrived mono.Time
-	// sequence numbers the arrivals.
+	// sequence is the request's number in order of arrival.
 	sequence uint64
-	// cost is the expected time in the slot, fixed at arrival so that the sums
+	// cost is the expected time in the slot. It is fixed at arrival so that the sums
 	// of waiting work stay exact.
 	cost time.Duration
 }
 
-// The places within a priority, first served first.
+// The places within a priority, in the order in which they are served.
 const (
 	placeOpen = iota // requests of open transactions
 	placeNew
@@ -35,25 +35,25 @@
 	return placeNew
 }
 
-// flowKey names a flow: requests that open a transaction have one of their own,
-// so that the limit on transactions holds back only them.
+// flowKey identifies a flow. Requests that open a transaction have a flow of their
+// own, so that the limit on transactions delays no other requests.
 type flowKey struct {
 	member string
 	opens  bool
 }
 
-// flow is the FIFO of one member at one place.
+// flow is the FIFO queue of one flowKey at one place.
 type flow struct {
 	key     flowKey
 	waiting []*entry
-	// start is the virtual time at which the first waiting request starts.
+	// start is the virtual start time of the first waiting request.
 	start float64
 	work  time.Duration
 }
 
-// place holds the flows of one place of a priority and shares it among members
-// by start-time fair queueing: the flow with the earliest start goes next, and
-// each request moves its flow's start on by cost over weight.
+// place holds the flows of one place of a priority and shares it among members by
+// start-time fair queueing: the flow with the earliest start is served next, and
+// each request advances its flow's start by cost divided by weight.
 type place struct {
 	flows   []*flow
 	virtual float64
@@ -73,14 +73,14 @@
 func (p *place) push(e *entry) {
 	f := p.flow(flowKey{e.Member, e.Opens})
 	if len(f.waiting) == 0 {
-		// A flow that was idle gets no credit for it.
+		// A flow gets no credit for the time that it was idle.
 		f.start = max(f.start, p.virtual)
 	}
 	f.waiting = append(f.waiting, e)
 	f.work += e.cost
 }
 
-// head returns the flow to be served next, or nil.
+// head returns the flow to be served next, or nil if none can be.
 func (p *place) head(opensAllowed bool) *flow {
 	var best *flow
 	for _, f := range p.flows {
@@ -94,18 +94,18 @@
 	return best
 }
 
-// pop takes the first request of the flow.
+// pop removes the first request of the flow and advances the virtual time.
 func (p *place) pop(f *flow, weight float64) {
 	cost := f.waiting[0].cost
 	f.remove(0)
 	p.virtual = f.start
 	f.start += cost.Seconds() / weight
-	p.forgetIdle()
+	p.dropIdle()
 }
 
-// forgetIdle drops idle flows that have no debt, so that members who come and go
-// don't add up.
-func (p *place) forgetIdle() {
+// dropIdle drops idle flows whose start is not ahead of the virtual time, so that
+// flows of members that send no more requests don't accumulate.
+func (p *place) dropIdle() {
 	kept := p.flows[:0]
 	for _, f := range p.flows {
 		if len(f.waiting) > 0 || f.start > p.virtual {
@@ -123,12 +123,13 @@
 	f.waiting = f.waiting[:len(f.waiting)-1]
 }
 
-// level is one priority.
+// level holds the waiting requests of one priority.
 type level struct {
 	places [places]place
 	count  int
 	work   time.Duration
-	// credit is the slot time that the level has earned while others ran.
+	// credit is the slot time that the level has earned while requests of other
+	// levels ran.
 	credit time.Duration
 }
 
@@ -138,7 +139,7 @@
 	l.work += e.cost
 }
 
-// head returns the place and flow to be served next, or nil.
+// head returns the place and the flow to be served next, or nil if none can be.
 func (l *level) head(opensAllowed bool) (*place, *flow) {
 	for i := range l.places {
 		if f := l.places[i].head(opensAllowed); f != nil {
@@ -148,7 +149,7 @@
 	return nil, nil
 }
 
-// removed updates the sums for a request that left the level.
+// removed updates the sums after a request was removed from the level.
 func (l *level) removed(e *entry) {
 	l.count--
 	l.work -= e.cost
@@ -157,7 +158,7 @@
 	}
 }
 
-// removeIf takes out the waiting requests that match.
+// removeIf removes the waiting requests that match and calls taken for each.
 func (l *level) removeIf(match func(*entry) bool, taken func(*entry)) {
 	for i := range l.places {
 		for _, f := range l.places[i].flows {
@@ -173,7 +174,7 @@
 	}
 }
 
-// each visits the waiting requests.
+// each calls visit for each waiting request.
 func (l *level) each(visit func(*entry)) {
 	for i := range l.places {
 		for _, f := range l.places[i].flows {
@@ -184,8 +185,8 @@
 	}
 }
 
-// youngest returns the member's latest arrival that does not belong to an open
-// transaction: refusing those would only keep their connections held.
+// youngest returns the member's latest arrival, or nil. It leaves out requests of
+// open transactions, because refusing them would only keep their connections held.
 func (l *level) youngest(member string) *entry {
 	var last *entry
 	for i := placeNew; i < places; i++ {
--- a/pkg/admission/queue.go
+++ b/pkg/admission/queue.go
@@ -10,17 +10,17 @@
 
 // Queue holds the requests of one target that wait for a slot or run in one.
 type Queue struct {
-	limits   Limits
-	levels   [priorities]level
-	classes  map[string]int
-	members  map[string]int
-	running  map[uint64]started
-	open     map[uint64]struct{}
-	sequence uint64
-	// earliest is no later than any deadline that waits.
-	earliest mono.Time
-	measured estimates
-	lowRuns  int
+	limits           Limits
+	levels           [priorities]level
+	classes          map[string]int
+	members          map[string]int
+	running          map[uint64]started
+	openTransactions map[uint64]struct{}
+	sequence         uint64
+	// earliestDeadline is no later than the deadline of any waiting request.
+	earliestDeadline mono.Time
+	measured         estimates
+	lowerRunning     int
 }
 
 // started is a request that holds a slot.
@@ -32,16 +32,16 @@
 // NewQueue returns an empty queue.
 func NewQueue(limits Limits) *Queue {
 	return &Queue{
-		limits:   limits,
-		classes:  make(map[string]int),
-		members:  make(map[string]int),
-		running:  make(map[uint64]started),
-		open:     make(map[uint64]struct{}),
-		measured: estimates{classes: make(map[string]*average)},
+		limits:           limits,
+		classes:          make(map[string]int),
+		members:          make(map[string]int),
+		running:          make(map[uint64]started),
+		openTransactions: make(map[uint64]struct{}),
+		measured:         estimates{classes: make(map[string]*average)},
 	}
 }
 
-// Waiting returns the number of requests that wait.
+// Waiting returns the number of waiting requests.
 func (q *Queue) Waiting() int {
 	n := 0
 	for i := range q.levels {
@@ -54,10 +54,10 @@
 func (q *Queue) Running() int { return len(q.running) }
 
 // OpenTransactions returns the number of transactions that hold a connection.
-func (q *Queue) OpenTransactions() int { return len(q.open) }
+func (q *Queue) OpenTransactions() int { return len(q.openTransactions) }
 
-// Enqueue admits a request or refuses it at once with an error that says when to
-// come back. The answers are those of waiting requests that it displaced.
+// Enqueue admits a request, or refuses it at once with an error that contains the
+// retry delay. The answers are for the waiting requests that it displaced.
 func (q *Queue) Enqueue(now mono.Time, r Request) ([]Answer, error) {
 	q.measured.arrived(&r, now)
 	e := &entry{Request: r, arrived: now, sequence: q.sequence, cost: q.measured.service(&r)}
@@ -65,7 +65,7 @@
 	if now.Add(q.expectedWait(e)) > e.Deadline {
 		return nil, q.refuse(result.DeadlineInQueue, e)
 	}
-	victim, err := q.room(e)
+	victim, err := q.findRoom(e)
 	if err != nil {
 		return nil, err
 	}
@@ -77,12 +77,13 @@
 	return shed, nil
 }
 
-// room finds out whether the request fits, and which one it displaces if any. At
-// the member's limit that is one of the member's own: else a member's crowd of
-// list checks would lock out its own confirmations. Requests of open
-// transactions are bounded by the number of these, and refusing one would keep
-// its connection held.
-func (q *Queue) room(e *entry) (victim *entry, err error) {
+// findRoom checks whether the request fits in the queue. It returns the waiting
+// request to displace, if any, or the refusal. At the member's limit, the request
+// displaces a less urgent one of the same member: else many list checks of a member
+// would lock out its own confirmations, which are urgent. Requests of open
+// transactions always fit: the limit on transactions bounds their number, and
+// refusing one would keep its connection held.
+func (q *Queue) findRoom(e *entry) (victim *entry, err error) {
 	switch {
 	case e.continues():
 		return nil, nil //nolint:nilnil // No waiting request is displaced, and none is refused.
@@ -100,15 +101,16 @@
 	return victim, nil
 }
 
-// refuse builds the final answer; what waits ahead tells when to come back.
+// refuse returns the error for a refused request. The retry delay is the expected
+// wait, at least minRetryAfter.
 func (q *Queue) refuse(code result.Code, e *entry) *result.Error {
 	wait := max(q.expectedWait(e), minRetryAfter)
 	return result.New(code, "class %s, %d waiting", e.Class, q.Waiting()).After(wait)
 }
 
-// expectedWait returns the time until the request would start: the work ahead of
-// it over the slots. Of its own priority no more counts than its member's share
-// lets pass first.
+// expectedWait returns the expected time until the request would start: the work
+// ahead of it divided by the number of slots. Work of its own priority counts only
+// as far as its member's share lets it run first.
 func (q *Queue) expectedWait(e *entry) time.Duration {
 	slots := time.Duration(max(q.limits.Slots, 1))
 	if q.Waiting() == 0 && len(q.running) < int(slots) {
@@ -141,7 +143,8 @@
 	return time.Duration(float64(own+e.cost) * (total + weight) / weight)
 }
 
-// runningWork is what the slots still have to do: on average half of each.
+// runningWork returns the expected remaining work of the running requests: on
+// average half of each one's service time.
 func (q *Queue) runningWork() time.Duration {
 	var work time.Duration
 	for id := range q.running {
@@ -151,14 +154,14 @@
 	return work
 }
 
-// anyMember stands for every member.
+// anyMember matches every member.
 const anyMember = ""
 
-// victim returns the youngest of the least urgent waiting requests of the member
-// that are less urgent than p, or nil.
+// victim returns the member's waiting request to displace for one of priority p:
+// the youngest of the least urgent requests that are less urgent than p, or nil.
 func (q *Queue) victim(p Priority, member string) *entry {
-	for low := Priority(priorities - 1); low > p; low-- {
-		if e := q.levels[low].youngest(member); e != nil {
+	for lower := Priority(priorities - 1); lower > p; lower-- {
+		if e := q.levels[lower].youngest(member); e != nil {
 			return e
 		}
 	}
@@ -166,30 +169,30 @@
 }
 
 func (q *Queue) shed(e *entry, code result.Code) Answer {
-	q.take(func(other *entry) bool { return other == e }, func(*entry) {})
+	q.removeMatching(func(other *entry) bool { return other == e }, func(*entry) {})
 	return Answer{ID: e.ID, Err: q.refuse(code, e)}
 }
 
 func (q *Queue) push(e *entry) {
-	if q.Waiting() == 0 || e.Deadline < q.earliest {
-		q.earliest = e.Deadline
+	if q.Waiting() == 0 || e.Deadline < q.earliestDeadline {
+		q.earliestDeadline = e.Deadline
 	}
 	q.levels[e.Priority].push(e)
 	q.classes[e.Class]++
 	q.members[e.Member]++
 }
 
-// take removes the waiting requests that match.
-func (q *Queue) take(match func(*entry) bool, taken func(*entry)) {
+// removeMatching removes the waiting requests that match and calls taken for each.
+func (q *Queue) removeMatching(match func(*entry) bool, taken func(*entry)) {
 	for i := range q.levels {
 		q.levels[i].removeIf(match, func(e *entry) {
-			q.left(e)
+			q.uncount(e)
 			taken(e)
 		})
 	}
 }
 
-func (q *Queue) left(e *entry) {
+func (q *Queue) uncount(e *entry) {
 	decrement(q.classes, e.Class)
 	decrement(q.members, e.Member)
 }
@@ -197,41 +200,41 @@
 func decrement(counts map[string]int, key string) {
 	counts[key]--
 	if counts[key] < 0 {
-		invariant.Check(false, "count of %q below zero", key)
+		invariant.Check(false, "negative number of waiting requests for %q", key)
 	}
 	if counts[key] <= 0 {
 		delete(counts, key)
 	}
 }
 
-// Cancel removes a waiting request and reports whether it did: then the request
-// has not run. A running one keeps its slot until Done.
+// Cancel removes a waiting request and reports whether it did. A request that it
+// removed has not run. A running request keeps its slot until Done.
 func (q *Queue) Cancel(id uint64) bool {
 	found := false
-	q.take(func(e *entry) bool { return e.ID == id }, func(*entry) { found = true })
+	q.removeMatching(func(e *entry) bool { return e.ID == id }, func(*entry) { found = true })
 	return found
 }
 
-// Done frees the slot of a request.
+// Done frees the slot of a request and measures its service time.
 func (q *Queue) Done(id uint64, now mono.Time) {
 	s, ok := q.running[id]
 	if !ok {
-		invariant.Check(false, "request %d ended without a slot", id)
+		invariant.Check(false, "request %d ended but held no slot", id)
 		return
 	}
 	delete(q.running, id)
 	if s.request.Priority != Urgent {
-		q.lowRuns--
+		q.lowerRunning--
 	}
 	q.measured.ran(&s.request, now.Sub(s.at))
 }
 
-// EndTransaction notes that a transaction freed its connection.
-func (q *Queue) EndTransaction(transaction uint64) { delete(q.open, transaction) }
+// EndTransaction records that a transaction released its connection.
+func (q *Queue) EndTransaction(transaction uint64) { delete(q.openTransactions, transaction) }
 
-// SetLimits puts other limits in force at once, as a switch of the preset does.
-// Requests beyond a shorter queue are answered, the least urgent and youngest
-// first; those that run keep their slots.
+// SetLimits applies new limits at once, for example after a switch of the preset.
+// If the queue becomes shorter, the excess requests are refused, the least urgent
+// and youngest first. Running requests keep their slots.
 func (q *Queue) SetLimits(limits Limits) []Answer {
 	q.limits = limits
 	var answers []Answer
--- a/pkg/admission/sim_test.go
+++ b/pkg/admission/sim_test.go
@@ -15,7 +15,8 @@
 	"github.com/buckthornshore/buckthornshore/pkg/mono"
 )
 
-// queue is what the simulation drives: ours or a FIFO of the same length.
+// queue is the interface that the simulation drives: implemented by
+// admission.Queue and by a FIFO queue of the same length for comparison.
 type queue interface {
 	Enqueue(mono.Time, admission.Request) ([]admission.Answer, error)
 	Next(mono.Time) ([]admission.Request, []admission.Answer)
@@ -69,24 +70,24 @@
 
 const slots = 2
 
-// kind is a class of the simulated load: load is its part of the slots' time.
-type kind struct {
+// loadClass is a class of the simulated load.
+type loadClass struct {
 	name     string
 	priority admission.Priority
-	load     float64
+	load     float64 // share of the slots' time
 	service  time.Duration
 	deadline time.Duration
 }
 
-func kinds(normal, background float64) []kind {
-	return []kind{
+func simulatedLoad(normal, background float64) []loadClass {
+	return []loadClass{
 		{"confirm", admission.Urgent, 0.2, 5 * time.Millisecond, time.Second},
 		{"balance", admission.Normal, normal, 8 * time.Millisecond, time.Second},
 		{"landing", admission.Background, background, 20 * time.Millisecond, 10 * time.Second},
 	}
 }
 
-// outcome is what one priority got.
+// outcome holds the results of one priority.
 type outcome struct {
 	offered, inTime int
 	busy            time.Duration
@@ -98,8 +99,8 @@
 	return o.times[len(o.times)*99/100]
 }
 
-// simulate runs Poisson arrivals in virtual time.
-func simulate(q queue, load []kind, exponential bool, length time.Duration) [3]outcome {
+// simulate runs the load through q in virtual time, with Poisson arrivals.
+func simulate(q queue, load []loadClass, exponential bool, length time.Duration) [3]outcome {
 	random := rand.New(rand.NewPCG(1, 2))
 	var pending events
 	var id uint64
@@ -150,17 +151,17 @@
 var _ = Describe("2x overload, in virtual time", func() {
 	const length = 100 * time.Second
 	for _, exponential := range []bool{false, true} {
-		It(fmt.Sprintf("keeps urgent p99 within twice its value at rest, exponential=%t", exponential), func() {
-			rest := simulate(admission.NewQueue(limits(0)), kinds(0.1, 0.05), exponential, length)
-			overload := kinds(1.2, 0.6)
-			ours := simulate(admission.NewQueue(limits(0)), overload, exponential, length)
+		It(fmt.Sprintf("keeps urgent p99 within twice its value at low load, exponential=%t", exponential), func() {
+			lowLoad := simulate(admission.NewQueue(limits(0)), simulatedLoad(0.1, 0.05), exponential, length)
+			overload := simulatedLoad(1.2, 0.6)
+			unreserved := simulate(admission.NewQueue(limits(0)), overload, exponential, length)
 			for _, run := range []struct {
 				name string
 				out  [3]outcome
 			}{
-				{"at rest", rest},
+				{"low load", lowLoad},
 				{"fifo", simulate(&fifo{slots: slots, limit: 128}, overload, exponential, length)},
-				{"reserved=0", ours},
+				{"reserved=0", unreserved},
 				{"reserved=1", simulate(admission.NewQueue(limits(1)), overload, exponential, length)},
 			} {
 				GinkgoWriter.Printf("%-10s", run.name)
@@ -171,8 +172,8 @@
 				}
 				GinkgoWriter.Println("")
 			}
-			Expect(ours[0].p99()).To(BeNumerically("<=", 2*rest[0].p99()))
-			Expect(ours[2].busy).To(BeNumerically(">=", slots*length*4/100), "background keeps its share")
+			Expect(unreserved[0].p99()).To(BeNumerically("<=", 2*lowLoad[0].p99()))
+			Expect(unreserved[2].busy).To(BeNumerically(">=", slots*length*4/100), "background keeps its share")
 		})
 	}
 })
