--- a/internal/gateway/router.go
+++ b/internal/gateway/router.go
@@ -119,7 +119,7 @@
 			candidates = append(candidates, r.candidate(&targets[i], primary))
 		}
 	}
-	req := routing.Request{Staleness: c.Staleness, Floor: floor, Patience: patience}
+	req := routing.Request{Staleness: c.Staleness, Floor: floor, MaxCatchUp: patience}
 	r.refresh(g, c, now)
 	why, err := routing.Choose(now, req, g.fresh, candidates, r.random)
 	if err != nil && len(tried) == 0 && allLeave(targets) {
@@ -258,6 +258,6 @@
 	if !holds.IsZero() {
 		fresh.Learn(id, holds, now)
 	}
-	fresh.Refused(id, now)
+	fresh.MarkRefused(id, now)
 	return fresh.CatchUp(id, c.floor, now)
 }
--- a/pkg/routing/applied.go
+++ b/pkg/routing/applied.go
@@ -23,9 +23,9 @@
 	f.targets[target] = a
 }
 
-// Refused records that the target refused a read because it lacks the position:
+// MarkRefused records that the target refused a read because it lacks the position:
 // as far as is known, the target still holds no more than it last reported.
-func (f *Freshness) Refused(target topology.TargetID, now mono.Time) {
+func (f *Freshness) MarkRefused(target topology.TargetID, now mono.Time) {
 	a, known := f.targets[target]
 	if known {
 		a.lastReport = max(a.lastReport, now)
--- a/pkg/routing/catchup_test.go
+++ b/pkg/routing/catchup_test.go
@@ -48,7 +48,7 @@
 	// caught up, and refuses. The estimate then restarts from the refusal.
 	It("gets no shorter catch-up time while its position does not advance", func() {
 		f := history()
-		f.Refused(replica, second+200*ms)
+		f.MarkRefused(replica, second+200*ms)
 		Expect(f.CatchUp(replica, at(1, 91), second+200*ms)).To(Equal(200 * time.Millisecond))
 	})
 
@@ -58,7 +58,7 @@
 			{Target: primary, Primary: true, Latency: primaryWait},
 			{Target: replica, SameDC: true, Latency: 10 * time.Millisecond},
 		}
-		req := routing.Request{Staleness: 150 * time.Millisecond, Patience: patience}
+		req := routing.Request{Staleness: 150 * time.Millisecond, MaxCatchUp: patience}
 		e, err := routing.Choose(second, req, f, targets, rand.New(rand.NewPCG(1, 1)))
 		Expect(err).NotTo(HaveOccurred())
 		return e.Chosen
--- a/pkg/routing/choose.go
+++ b/pkg/routing/choose.go
@@ -24,10 +24,10 @@
 )
 
 // Reads spill to the primary when every replica's wait is at least SpillWait and
-// the primary's is at most 1/SpillIdle of the best replica's.
+// the primary's is at most 1/SpillWaitRatio of the best replica's.
 const (
-	SpillWait = 50 * time.Millisecond
-	SpillIdle = 4
+	SpillWait      = 50 * time.Millisecond
+	SpillWaitRatio = 4
 )
 
 // RetryNoTarget is the retry delay given to callers while no target can serve:
@@ -81,8 +81,8 @@
 	// Floor is the session's floor, the position that a target must hold. The
 	// caller determines it before it calls Choose.
 	Floor position.Position
-	// Patience is the longest time to wait for a replica to catch up.
-	Patience time.Duration
+	// MaxCatchUp is the longest time to wait for a replica to catch up.
+	MaxCatchUp time.Duration
 }
 
 // Random draws a number in [0, n). *rand.Rand of math/rand/v2 implements it.
@@ -98,7 +98,7 @@
 	for i := range targets {
 		e.Candidates = append(e.Candidates, evaluate(now, req, f, &targets[i], e.Floor, ageShown))
 	}
-	chosen := e.pick(targets, req.Patience, random)
+	chosen := e.pick(targets, req.MaxCatchUp, random)
 	if chosen < 0 {
 		return e, e.noTargetError(req)
 	}
@@ -237,7 +237,7 @@
 			shortest = min(shortest, e.Candidates[i].Wait)
 		}
 	}
-	return shortest >= SpillWait && e.Candidates[primary].Wait <= shortest/SpillIdle
+	return shortest >= SpillWait && e.Candidates[primary].Wait <= shortest/SpillWaitRatio
 }
 
 // noTargetError returns the error for a request for which no target was chosen.
