--- a/pkg/routing/choose.go
+++ b/pkg/routing/choose.go
@@ -169,8 +169,8 @@
 // its own or another data centre, whichever costs less; the primary is the last
 // choice, which keeps its slots for writes. A read waits for a replica that is
 // behind while that is expected to be faster than the primary's answer and within
-// patience: the primary can't take the reads of all replicas that lag.
-func (e *Explanation) pick(targets []Candidate, patience time.Duration, random Random) int {
+// maxCatchUp: the primary can't take the reads of all replicas that lag.
+func (e *Explanation) pick(targets []Candidate, maxCatchUp time.Duration, random Random) int {
 	local, remote, primary := make([]int, 0, len(targets)), []int(nil), -1
 	for i := range targets {
 		switch {
@@ -187,7 +187,7 @@
 	if replica < 0 {
 		return primary
 	}
-	if primary >= 0 && e.Candidates[replica].CatchUp > max(UnconfirmedCost, min(patience, e.Candidates[primary].Wait)) {
+	if primary >= 0 && e.Candidates[replica].CatchUp > max(UnconfirmedCost, min(maxCatchUp, e.Candidates[primary].Wait)) {
 		return primary
 	}
 	if primary >= 0 && e.spills(primary, local, remote) {
