--- a/internal/gateway/router.go
+++ b/internal/gateway/router.go
@@ -122,7 +122,7 @@
 			candidates = append(candidates, r.candidate(&targets[i], primary))
 		}
 	}
-	req := routing.Request{Staleness: c.Staleness, Floor: floor, Patience: maxWait}
+	req := routing.Request{Staleness: c.Staleness, Floor: floor, MaxCatchUp: maxWait}
 	r.refresh(g, c, now)
 	decision, err := routing.Choose(now, req, g.freshness, candidates, r.random)
 	if err != nil && len(tried) == 0 && allLeaving(targets) {
@@ -263,6 +263,6 @@
 	if !holds.IsZero() {
 		freshness.Learn(id, holds, now)
 	}
-	freshness.Refused(id, now)
+	freshness.MarkRefused(id, now)
 	return freshness.CatchUp(id, c.floor, now)
 }
