--- a/pkg/authority/detector.go
+++ b/pkg/authority/detector.go
@@ -9,57 +9,61 @@
 
 // Defaults of the detector.
 const (
-	// ProbeIdle is the silence after which a new connection is tried.
+	// ProbeIdle is how long a target may go without an answer before it is
+	// probed with a new connection.
 	ProbeIdle = 200 * time.Millisecond
-	// ProbeEvery spaces the probes of a target that does not answer.
+	// ProbeEvery is the minimum interval between probes of one target.
 	ProbeEvery = 75 * time.Millisecond
-	// ProbeTimeout bounds a probe: a new connection takes 10 ms, so ten times
-	// the usual latency stays well below.
+	// ProbeTimeout is the timeout of a probe. A new connection usually takes
+	// 10 ms, so a target at ten times its usual latency still answers in time.
 	ProbeTimeout = 300 * time.Millisecond
-	// RefusalsForDead is how many new connections in a row a dead process
-	// refuses; one may hit a restart of the listener.
+	// RefusalsForDead is how many consecutive refused connections mark a target
+	// as dead. A single refusal may be a restart of the listener.
 	RefusalsForDead = 2
-	// FrozenAfter is how long no new connection is answered before the target
-	// counts as dead; at least two probes have timed out by then.
+	// FrozenAfter is how long new connections must go unanswered before the
+	// target counts as dead; at least two probes have timed out by then.
 	FrozenAfter = 600 * time.Millisecond
-	// HolderSilent is how long a holder's heartbeats may be missing: two may be
-	// lost.
+	// HolderSilent is how long after its last heartbeat a holder counts as silent.
+	// Two heartbeats may be lost before that.
 	HolderSilent = 800 * time.Millisecond
-	// SlowFactor makes a target slow that takes this many times its usual time.
+	// SlowFactor is the multiple of the usual latency above which a target is slow.
 	SlowFactor = 5
-	// witnessEvery spaces the questions to a witness; its word counts as long as
-	// witnessFresh.
-	witnessEvery = 200 * time.Millisecond
-	witnessFresh = 500 * time.Millisecond
-	// witnessWait is how long a verdict waits for the first word of a witness.
+	// witnessInterval is the minimum interval between requests to a witness. Its
+	// answer is used for witnessMaxAge.
+	witnessInterval = 200 * time.Millisecond
+	witnessMaxAge   = 500 * time.Millisecond
+	// witnessWait is how long a target is not declared dead while the first answer
+	// of a witness is outstanding.
 	witnessWait = 150 * time.Millisecond
-	// latencyWeight is the share of one sample in the usual latency.
-	latencyWeight = 16
-	// slowLatencyWeight is the same for samples that are slow.
-	slowLatencyWeight = 4096
+	// latencyDivisor is the divisor of the moving average: a sample moves the
+	// usual latency by 1/latencyDivisor of its difference.
+	latencyDivisor = 16
+	// slowLatencyDivisor is the divisor for samples that are slow.
+	slowLatencyDivisor = 4096
 )
 
-// Health is how a target looks from one VM.
+// Health is the state of a target as observed by one VM.
 type Health int
 
-// How a target looks.
+// States of a target.
 const (
 	HealthUnknown Health = iota
 	Healthy
-	// Slow targets answer, late: never a reason to promote.
+	// Slow targets answer late. A slow primary is never replaced.
 	Slow
-	// Doubtful targets have failed probes, not yet enough.
+	// Doubtful targets have failed probes, but not enough to count as dead.
 	Doubtful
-	// PathDead: not reachable from here, but a witness reaches it.
+	// PathDead targets can't be reached from this VM, but a witness reaches them.
 	PathDead
-	// Dead: new connections are refused or not answered, here and at the witness.
+	// Dead targets refuse or don't answer new connections from this VM, and no
+	// witness reports that it reaches them.
 	Dead
 )
 
-// ProbeOutcome is what a new connection brought.
+// ProbeOutcome is the result of a probe.
 type ProbeOutcome int
 
-// What a new connection brought.
+// Results of a probe.
 const (
 	ProbeAnswered ProbeOutcome = iota + 1
 	ProbeRefused
@@ -78,27 +82,27 @@
 func (Probe) action()      {}
 func (AskWitness) action() {}
 
-// Detector is the table of watched targets. Not safe for concurrent use.
+// Detector is the table of watched targets. It is not safe for concurrent use.
 type Detector struct {
 	targets map[topology.TargetID]*watched
 }
 
 // watched is one target of the Detector.
 type watched struct {
-	answered mono.Time
-	probed   mono.Time
-	doubted  bool
-	refusals int
-	timeouts int
-	// failing is when the earliest probe without any answer since was sent.
-	failing   mono.Time
-	failed    bool
-	answers   pace
-	probes    pace
-	witnessAt mono.Time
-	witnessOK bool
-	witnessed bool
-	asked     mono.Time
+	answeredAt mono.Time
+	probedAt   mono.Time
+	probeNow   bool
+	refusals   int
+	timeouts   int
+	// failingSince is when the first failed probe after the last answer was sent.
+	failingSince   mono.Time
+	failed         bool
+	answerLatency  latencyTracker
+	probeLatency   latencyTracker
+	witnessAt      mono.Time
+	witnessOK      bool
+	witnessed      bool
+	witnessAskedAt mono.Time
 }
 
 // NewDetector returns an empty table.
@@ -106,83 +110,85 @@
 	return &Detector{targets: map[topology.TargetID]*watched{}}
 }
 
-// Watch adds the target, as if it had just answered.
+// Watch adds the target. It counts as having answered at now.
 func (d *Detector) Watch(target topology.TargetID, now mono.Time) {
 	if _, ok := d.targets[target]; !ok {
-		d.targets[target] = &watched{answered: now}
+		d.targets[target] = &watched{answeredAt: now}
 	}
 }
 
 // Forget removes the target.
 func (d *Detector) Forget(target topology.TargetID) { delete(d.targets, target) }
 
-// pace is how long one kind of request takes at a target. New connections take
-// longer than requests on open ones, so each kind has its own.
-type pace struct {
+// latencyTracker tracks the latency of one kind of request to a target. New
+// connections take longer than requests on open ones, so each kind has its own.
+type latencyTracker struct {
 	usual time.Duration
 	last  time.Duration
 }
 
-// observe takes one sample. Slow ones hardly move what counts as usual: a target
-// that stays slow must not become the measure of itself within seconds.
-func (p *pace) observe(d time.Duration) {
+// observe adds one sample. Slow samples hardly move the usual latency, so that a
+// target that stays slow does not count as normal within seconds.
+func (p *latencyTracker) observe(d time.Duration) {
 	p.last = d
 	if p.usual == 0 {
 		p.usual = d
 	}
-	weight := time.Duration(latencyWeight)
+	divisor := time.Duration(latencyDivisor)
 	if p.slow() {
-		weight = slowLatencyWeight
+		divisor = slowLatencyDivisor
 	}
-	p.usual += (d - p.usual) / weight
+	p.usual += (d - p.usual) / divisor
 }
 
-func (p *pace) slow() bool { return p.usual > 0 && p.last > SlowFactor*p.usual }
+func (p *latencyTracker) slow() bool { return p.usual > 0 && p.last > SlowFactor*p.usual }
 
-// ObserveAnswer takes any answer or refusal by the target on an open connection.
+// ObserveAnswer records an answer or a refusal by the target on an open connection.
 func (d *Detector) ObserveAnswer(target topology.TargetID, latency time.Duration, now mono.Time) {
 	if w, ok := d.targets[target]; ok {
-		w.answers.observe(latency)
-		w.alive(now)
+		w.answerLatency.observe(latency)
+		w.markAlive(now)
 	}
 }
 
-// alive forgets what counted against the target.
-func (w *watched) alive(now mono.Time) {
-	w.answered = now
-	w.doubted = false
+// markAlive clears the failures of the target.
+func (w *watched) markAlive(now mono.Time) {
+	w.answeredAt = now
+	w.probeNow = false
 	w.failed = false
 	w.refusals = 0
 	w.timeouts = 0
 }
 
-// Doubt has the target probed at once: a connection broke, an answer is overdue
-// or the holder says that it is dead.
+// Doubt makes a probe of the target due without waiting for ProbeIdle. It is called
+// when a connection broke, an answer is overdue or the holder reports the target as
+// dead.
 func (d *Detector) Doubt(target topology.TargetID) {
 	if w, ok := d.targets[target]; ok {
-		w.doubted = true
+		w.probeNow = true
 	}
 }
 
-// ObserveProbe takes what a probe sent at sent brought. Only new connections
-// count against a target. Failure: something between the two ends has lost track
-// of an open connection, which stays silent while the target is well.
+// ObserveProbe records the result of a probe that was sent at the given time. Only
+// new connections count against a target. Failure: a network device between the
+// two ends dropped the state of an open connection, which then stays silent while
+// the target is healthy.
 func (d *Detector) ObserveProbe(target topology.TargetID, outcome ProbeOutcome, sent, now mono.Time) {
 	w, ok := d.targets[target]
 	if !ok {
 		return
 	}
 	if outcome == ProbeAnswered {
-		w.probes.observe(now.Sub(sent))
-		w.alive(now)
+		w.probeLatency.observe(now.Sub(sent))
+		w.markAlive(now)
 		return
 	}
-	if sent.Before(w.answered) {
+	if sent.Before(w.answeredAt) {
 		return
 	}
-	if !w.failed || sent.Before(w.failing) {
+	if !w.failed || sent.Before(w.failingSince) {
 		w.failed = true
-		w.failing = sent
+		w.failingSince = sent
 	}
 	if outcome == ProbeRefused {
 		w.refusals++
@@ -191,7 +197,7 @@
 	w.timeouts++
 }
 
-// ObserveWitness takes the word of a VM of another data centre.
+// ObserveWitness records whether a VM of another data centre reaches the target.
 func (d *Detector) ObserveWitness(target topology.TargetID, reachable bool, now mono.Time) {
 	w, ok := d.targets[target]
 	if !ok {
@@ -202,58 +208,60 @@
 	w.witnessOK = reachable
 }
 
-// Tick returns the probes and questions that are due.
+// Tick returns the probes and witness requests that are due.
 func (d *Detector) Tick(now mono.Time) []Action {
 	var out []Action
 	for _, id := range sortedKeys(d.targets) {
 		w := d.targets[id]
-		due := w.doubted || now.Sub(w.answered) >= ProbeIdle
-		if due && (w.probed == 0 || now.Sub(w.probed) >= ProbeEvery) {
-			w.probed = now
+		due := w.probeNow || now.Sub(w.answeredAt) >= ProbeIdle
+		if due && (w.probedAt == 0 || now.Sub(w.probedAt) >= ProbeEvery) {
+			w.probedAt = now
 			out = append(out, Probe{Target: id, Timeout: ProbeTimeout})
 		}
-		if w.failed && (w.asked == 0 || now.Sub(w.asked) >= witnessEvery) {
-			w.asked = now
+		if w.failed && (w.witnessAskedAt == 0 || now.Sub(w.witnessAskedAt) >= witnessInterval) {
+			w.witnessAskedAt = now
 			out = append(out, AskWitness{Target: id})
 		}
 	}
 	return out
 }
 
-// Health returns how the target looks at now.
+// Health returns the state of the target at now.
 func (d *Detector) Health(target topology.TargetID, now mono.Time) Health {
 	w, ok := d.targets[target]
 	if !ok {
 		return HealthUnknown
 	}
 	if !w.failed {
-		if w.answers.slow() || w.probes.slow() {
+		if w.answerLatency.slow() || w.probeLatency.slow() {
 			return Slow
 		}
 		return Healthy
 	}
-	fresh := w.witnessed && now.Sub(w.witnessAt) < witnessFresh
+	fresh := w.witnessed && now.Sub(w.witnessAt) < witnessMaxAge
 	if fresh && w.witnessOK {
 		return PathDead
 	}
 	refused := w.refusals >= RefusalsForDead
-	frozen := w.timeouts >= 2 && now.Sub(w.failing) >= FrozenAfter
-	heard := fresh || now.Sub(w.failing) >= witnessWait
-	if (refused || frozen) && heard {
+	frozen := w.timeouts >= 2 && now.Sub(w.failingSince) >= FrozenAfter
+	witnessChecked := fresh || now.Sub(w.failingSince) >= witnessWait
+	if (refused || frozen) && witnessChecked {
 		return Dead
 	}
 	return Doubtful
 }
 
-// Judge sets the suspicion from how the primary looks from this VM and what its
-// holder says, and returns it.
+// Judge decides whether the group's primary is suspected to be dead, passes the
+// result to Suspect and returns it. It combines this VM's own observation with the
+// health that the holder reports.
 //
-// A holder that still speaks and does not call its primary dead keeps it: what
-// this VM fails to reach is a path. A silent holder with a primary that answers
-// here is a dead pooler, which the next one replaces without a promotion.
+// While the holder sends heartbeats and does not report its primary as dead, the
+// primary is not suspected: the failure is on the path from this VM. If the holder
+// is silent but the primary answers this VM, the pooler is dead, and another
+// pooler replaces it without a promotion.
 func (p *Promoter) Judge(group topology.GroupID, direct Health, now mono.Time) bool {
-	s := p.standing(group)
-	speaks := s.heard != 0 && now.Sub(s.heard) < HolderSilent
+	s := p.promoterGroup(group)
+	speaks := s.heartbeatAt != 0 && now.Sub(s.heartbeatAt) < HolderSilent
 	dead := direct == Dead
 	if speaks {
 		dead = s.health == Dead && (direct == Dead || direct == Doubtful)
@@ -262,7 +270,7 @@
 	return dead
 }
 
-// String names the health as logs and status pages do.
+// String returns the name that logs and status pages use.
 func (h Health) String() string {
 	switch h {
 	case Healthy:
--- a/pkg/authority/detector_test.go
+++ b/pkg/authority/detector_test.go
@@ -12,7 +12,8 @@
 const second = mono.Time(time.Second)
 
 var _ = Describe("Detector", func() {
-	// drive ticks every 10 ms; each probe brings what answer says, if anything.
+	// drive ticks every 10 ms until the target is dead, and returns when that was, or
+	// zero. answer returns the outcome of each probe and the delay until it is known.
 	drive := func(d *Detector, from, to mono.Time, answer func(sent mono.Time) (ProbeOutcome, time.Duration)) mono.Time {
 		type pending struct {
 			outcome  ProbeOutcome
@@ -44,9 +45,9 @@
 		return d
 	}
 
-	// The process is gone: callers' connections break. New ones are refused at
-	// once, so two refusals and a witness's silence suffice.
-	It("finds a killed target in less than half a second", func() {
+	// The process was killed: callers' connections break, and new ones are refused at
+	// once. Two refusals suffice if no witness answers.
+	It("detects a killed target in less than half a second", func() {
 		at := drive(newDetector(), second, 3*second, func(mono.Time) (ProbeOutcome, time.Duration) {
 			return ProbeRefused, 2 * time.Millisecond
 		})
@@ -54,7 +55,7 @@
 		Expect(at.Sub(second)).To(BeNumerically("<", 500*time.Millisecond))
 	})
 
-	It("finds a frozen target in less than a second", func() {
+	It("detects a frozen target in less than a second", func() {
 		at := drive(newDetector(), second, 3*second, func(mono.Time) (ProbeOutcome, time.Duration) {
 			return ProbeTimedOut, ProbeTimeout
 		})
@@ -62,9 +63,9 @@
 		Expect(at.Sub(second)).To(BeNumerically("<", time.Second))
 	})
 
-	// Everything takes ten times as long: callers wait. New connections are
-	// answered within the probe's timeout, so nothing counts against the target.
-	It("takes a target of ten times the latency for slow", func() {
+	// All requests take ten times as long, and callers wait. New connections are still
+	// answered within the probe's timeout, so no probe fails.
+	It("reports a target with ten times the usual latency as slow", func() {
 		d := newDetector()
 		usual := func(mono.Time) (ProbeOutcome, time.Duration) { return ProbeAnswered, 12 * time.Millisecond }
 		Expect(drive(d, second, 3*second, usual)).To(BeZero())
@@ -76,9 +77,9 @@
 		Expect(d.Health("db0", 20*second)).To(Equal(Slow))
 	})
 
-	// Open connections went silent for good, as a box between the ends forgot
-	// them: callers' answers stay out. New connections are answered.
-	It("does not take a silent connection for a dead target", func() {
+	// A network device dropped the state of open connections: callers get no answers
+	// on them, but new connections are answered.
+	It("does not report a target as dead because of a silent connection", func() {
 		d := newDetector()
 		d.Doubt("db0")
 		at := drive(d, second, 6*second, func(mono.Time) (ProbeOutcome, time.Duration) {
@@ -87,9 +88,9 @@
 		Expect(at).To(BeZero())
 	})
 
-	// Only the path from here is dead: a witness of another data centre reaches
-	// the target.
-	It("believes a witness that reaches the target", func() {
+	// Only the path from this VM is cut: a witness in another data centre reaches the
+	// target.
+	It("reports a dead path while a witness reaches the target", func() {
 		d := newDetector()
 		d.ObserveProbe("db0", ProbeRefused, 2*second, 2*second)
 		d.ObserveProbe("db0", ProbeRefused, 2*second+1, 2*second+1)
--- a/pkg/authority/exchange.go
+++ b/pkg/authority/exchange.go
@@ -7,18 +7,19 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// exchange reads the row before anything is withdrawn. Failure: the platform is
-// down and the suspicion wrong; withdrawing would end the right for the whole
-// outage without any promotion being possible.
-func (p *Promoter) exchange(s *standing, now mono.Time) []Action {
+// exchange reads the row and asks the other candidates for their positions before
+// any promise is withdrawn. Failure: the platform is down and the suspicion is
+// wrong; withdrawing would end the holder's right for the whole outage although no
+// promotion is possible.
+func (p *Promoter) exchange(s *promoterGroup, now mono.Time) []Action {
 	a := s.attempt
 	others := p.others(s)
 	waited := now.Sub(a.began) >= p.opts.ExchangeWait
 	if a.rowFresh && (waited || len(a.answered) >= len(others)) {
 		a.stage = waiting
-		a.turn = now
+		a.turnAt = now
 		if !a.planned {
-			a.turn = now.Add(time.Duration(p.rank(s))*p.opts.Stagger + p.jitter(p.opts.Stagger/5))
+			a.turnAt = now.Add(time.Duration(p.rank(s))*p.opts.Stagger + p.jitter(p.opts.Stagger/5))
 		}
 		return nil
 	}
@@ -33,7 +34,7 @@
 	return out
 }
 
-func (p *Promoter) others(s *standing) []topology.Promoter {
+func (p *Promoter) others(s *promoterGroup) []topology.Promoter {
 	var out []topology.Promoter
 	for _, e := range s.row.Promoters {
 		if e.VM != p.self.ID {
@@ -43,10 +44,10 @@
 	return out
 }
 
-// rank counts the candidates that answered and go first: those that need no proof
-// before those that do, then those that hold more, and of equals those before
-// this one in the list.
-func (p *Promoter) rank(s *standing) int {
+// rank returns how many of the candidates that answered come before this one.
+// Candidates that need no proof come first, then those with the higher position,
+// then those earlier in the list.
+func (p *Promoter) rank(s *promoterGroup) int {
 	n := 0
 	before := true
 	complete := Complete(s.row, s.replica)
@@ -69,15 +70,15 @@
 	return n
 }
 
-// ObserveWithdraw takes the answer of a VM to a SendWithdraw of this table.
+// ObserveWithdraw records the answer of a VM to a SendWithdraw of this table.
 func (p *Promoter) ObserveWithdraw(from topology.VMID, r WithdrawResponse, now mono.Time) {
-	s := p.standing(r.Group)
+	s := p.promoterGroup(r.Group)
 	s.settlement.observe(&p.opts, r, now)
 	if s.attempt != nil && r.ReplicaReachable {
 		s.positions[from] = r.Position
 		s.attempt.answered[from] = true
 		if p.opts.faults.stalePosition {
-			p.noteStale(s, from, r.Position)
+			p.noteStalePosition(s, from, r.Position)
 		}
 	}
 }
--- a/pkg/authority/failover_test.go
+++ b/pkg/authority/failover_test.go
@@ -9,30 +9,30 @@
 	. "github.com/onsi/gomega"
 )
 
-// gapRuns is how many seeds each figure of the failover gap rests on.
+// gapRuns is how many seeds each measurement of the failover gap uses.
 const gapRuns = 40
 
-// gaps runs an honest world, whose VMs judge by their detectors, breaks it, and
-// returns the longest time without an acknowledgement, by seed, in order;
-// moves says that a new primary is expected and only its own count.
-func gaps(moves bool, harm func(*world)) []time.Duration {
+// gaps runs a world in which VMs use their detectors, injects a fault, and returns the
+// longest time without an acknowledgement for each seed, sorted. If newPrimary is set,
+// a failover is expected and only acknowledgements of later terms count.
+func gaps(newPrimary bool, inject func(*world)) []time.Duration {
 	var out []time.Duration
 	for seed := range uint64(gapRuns) {
 		w := newWorld(seed, DefaultOptions())
-		w.honest = true
+		w.useDetectors = true
 		for _, v := range w.vms {
 			v.rate /= clockError
 		}
 		w.run(3*time.Second + time.Duration(seed)*7*time.Millisecond)
-		harm(w)
+		inject(w)
 		start := w.now
 		before := len(w.acks)
 		w.run(4 * time.Second)
-		Expect(w.broken).To(BeEmpty())
+		Expect(w.violation).To(BeEmpty())
 		after := w.acks[before:]
-		if moves {
-			// The cut-off side may go on within its lease; those outside wait for
-			// the next term.
+		if newPrimary {
+			// The isolated side may acknowledge writes until its lease ends; callers
+			// elsewhere wait for the next term.
 			after = slices.DeleteFunc(slices.Clone(after), func(a ack) bool { return a.term == 1 })
 		}
 		out = append(out, longestGap(w, after, start))
@@ -41,7 +41,7 @@
 	return out
 }
 
-// longestGap is the longest time without an acknowledgement after start.
+// longestGap returns the longest time without an acknowledgement after start.
 func longestGap(w *world, acks []ack, start time.Duration) time.Duration {
 	longest := time.Duration(0)
 	last := start
@@ -59,17 +59,17 @@
 }
 
 var _ = Describe("failover", func() {
-	// The primary's process is killed: callers see writes fail. Its pooler meets
-	// refused connections, says so in a heartbeat and releases the right, so the
-	// promoter need not wait for its promises to lapse.
+	// The primary's process is killed and callers' writes fail. Its pooler finds that
+	// connections are refused, reports this in a heartbeat and releases the right, so
+	// the promoter need not wait for its promises to lapse.
 	It("replaces a killed primary without waiting for the lease", func() {
 		g := gaps(true, func(w *world) { w.dbs[0].up = false })
 		report("killed", g)
 		Expect(g[len(g)*95/100]).To(BeNumerically("<", 1500*time.Millisecond))
 	})
 
-	// The primary hangs: callers' writes get no answer. New connections are not
-	// answered either, for long enough to tell it from a slow one; then the
+	// The primary hangs and callers' writes get no answer. New connections are not
+	// answered either, for long enough to distinguish it from a slow primary; then the
 	// pooler releases the right as above.
 	It("replaces a frozen primary", func() {
 		g := gaps(true, func(w *world) { w.dbs[0].up, w.dbs[0].frozen = false, true })
@@ -77,27 +77,27 @@
 		Expect(g[len(g)*95/100]).To(BeNumerically("<", 1500*time.Millisecond))
 	})
 
-	// The primary's data centre is cut off from all else: its callers lose the
-	// right within the lease. The others see a silent holder and a target that
-	// neither they nor a witness reaches, and wait the promises out.
-	It("replaces a primary behind a cut", func() {
+	// The primary's data centre is isolated, and its holder loses the right within the
+	// lease. The promoters find the holder silent and the target unreachable for
+	// themselves and a witness, and wait for their promises to lapse.
+	It("replaces a primary whose data centre is cut off", func() {
 		g := gaps(true, func(w *world) {
 			for dc := 1; dc < dcCount; dc++ {
 				w.cut[0][dc], w.cut[dc][0] = true, true
 			}
-			w.platCut[0] = true
+			w.platformCut[0] = true
 		})
 		report("cut", g)
 		Expect(g[len(g)*95/100]).To(BeNumerically("<", 4*time.Second))
 		Expect(g[len(g)-1]).To(BeNumerically("<", 6*time.Second))
 	})
 
-	// The pooler's VM stops while its primary is well. Callers see errors until
-	// the next VM pools the target; nobody promotes, since the target answers
-	// to others.
+	// The pooler's VM stops while its primary is healthy. Callers get errors until
+	// another VM pools the target. No replica is promoted, since the target answers
+	// other VMs.
 	It("does not promote when the pooler's VM dies", func() {
 		g := gaps(false, func(w *world) {
-			w.vms[0].until = w.now + time.Hour
+			w.vms[0].pausedUntil = w.now + time.Hour
 			w.after(time.Second, func() {
 				spare(w, w.rng, true)
 			})
@@ -106,24 +106,25 @@
 		Expect(g[len(g)-1]).To(BeNumerically("<", 1500*time.Millisecond))
 	})
 
-	// One promoter is cut off from the primary's data centre. Callers notice
-	// nothing: the holder puts a list without it in place while the promises
-	// under the old one still stand.
-	It("goes on when one promoter is cut off", func() {
+	// One promoter is cut off from the primary's data centre. Callers are not affected:
+	// the holder commits a list without it while the promises under the old one are
+	// still valid.
+	It("keeps acknowledging when one promoter is cut off", func() {
 		g := gaps(false, func(w *world) { w.cut[0][1], w.cut[1][0] = true, true })
 		report("one promoter cut off", g)
 		Expect(g[len(g)-1]).To(BeNumerically("<", 300*time.Millisecond))
 	})
 
-	// The platform is down. Callers notice nothing: promises need no table.
-	It("goes on through an outage of the platform", func() {
-		g := gaps(false, func(w *world) { w.down = true })
+	// The platform is down. Callers are not affected, since promises don't need it.
+	It("keeps acknowledging during an outage of the platform", func() {
+		g := gaps(false, func(w *world) { w.platformDown = true })
 		report("platform down", g)
 		Expect(g[len(g)-1]).To(BeNumerically("<", 300*time.Millisecond))
 	})
 
-	// The operator moves the primary: the holder admits nothing more, waits until
-	// the replica holds all, and releases; callers wait for a few round trips.
+	// The operator requests a switchover: the holder admits no more writes, waits until
+	// the replica holds all of them, and releases its right. Callers wait for a few
+	// round trips.
 	It("switches over without waiting for the lease or losing a write", func() {
 		g := gaps(true, func(w *world) {
 			v := w.vms[0]
--- a/pkg/authority/holder.go
+++ b/pkg/authority/holder.go
@@ -6,46 +6,48 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Right is the leave to send one write to the primary. It must be confirmed
-// just before the write is acknowledged.
+// Right is the permission to send one write to the primary. It must be checked
+// with Confirm just before the write is acknowledged.
 type Right struct {
 	Group   topology.GroupID
 	Term    uint64
 	Version uint64
-	// WaitFor are the replicas that a waiting write must wait for. Empty: refuse
-	// classes that wait.
+	// WaitFor lists the replicas that a write must wait for if its class waits for
+	// replicas. If it is empty, such writes must be refused.
 	WaitFor []topology.TargetID
-	// Until is when the right ends unless promises are renewed.
+	// Until is when the right ends if no promise is renewed.
 	Until mono.Time
 }
 
-// Holder is the table of groups whose primary this VM pools. Not safe for
+// Holder is the table of groups whose primary this VM pools. It is not safe for
 // concurrent use.
 type Holder struct {
 	self   topology.VM
 	opts   Options
-	groups map[topology.GroupID]*held
+	groups map[topology.GroupID]*holderGroup
 	sent   map[topology.VMID]*sentTimes
-	// released outlives Drop. Failure: the VM releases while it does not pool the
-	// group, pools it again, and a promise given before arrives.
-	released  map[topology.GroupID]release
-	sequence  uint64
-	changes   uint64
-	lastBeat  mono.Time
-	beaten    bool
-	lastHurry mono.Time
-	ticked    mono.Time
+	// released is kept across Drop. Failure: the VM releases its right while it does
+	// not pool the group, pools it again, and then receives a promise that was given
+	// before the release.
+	released          map[topology.GroupID]release
+	sequence          uint64
+	changes           uint64
+	lastHeartbeat     mono.Time
+	heartbeatSent     bool
+	lastFastHeartbeat mono.Time
+	lastTick          mono.Time
 }
 
-// relied is one version of the row that a right may rest on.
-type relied struct {
+// basis is one version of the row that a right may be based on.
+type basis struct {
 	row *topology.Group
-	// asOf is when a platform read began that showed the version as current.
-	asOf  mono.Time
-	known bool
+	// asOf is when the latest platform read began that showed the version as
+	// current. It is valid if confirmed is set.
+	asOf      mono.Time
+	confirmed bool
 }
 
-// release is the newest version whose right this VM gave up.
+// release is the newest version whose right this VM released, and when.
 type release struct {
 	version uint64
 	at      mono.Time
@@ -57,79 +59,83 @@
 	version uint64
 }
 
-// held is one group of the Holder.
-type held struct {
+// holderGroup is the state of one group of the Holder.
+type holderGroup struct {
 	target topology.TargetID
-	now    relied
-	// learned is when the row became known here.
-	learned mono.Time
-	// older holds earlier versions of the term under which promises may still
-	// stand, the newest first.
-	older    []relied
+	now    basis
+	// learnedAt is when this VM learned of the current row.
+	learnedAt mono.Time
+	// older holds the earlier versions of the term whose promises may still be
+	// valid, newest first.
+	older    []basis
 	promises map[promiseKey]mono.Time
-	// granted tells, by VM, when its latest granted request was sent; before the
-	// first grant, when the version was learned.
-	granted map[topology.VMID]mono.Time
-	// shunned VMs left the list for silence and stay out until then.
-	shunned    map[topology.VMID]mono.Time
+	// lastGranted is, by VM, when the latest request that it granted was sent, or
+	// when the version was learned if it has granted none yet.
+	lastGranted map[topology.VMID]mono.Time
+	// excluded is, by VM, until when a VM that was removed from the list for its
+	// silence is not added again.
+	excluded   map[topology.VMID]mono.Time
 	health     Health
 	urgent     bool
 	drain      *drain
 	proposal   *proposal
 	settlement settlement
 	candidates []topology.Promoter
-	// viewed are the candidates at the last tick, and since when.
-	viewed      []topology.Promoter
-	viewedSince mono.Time
-	replicas    map[topology.TargetID]replicaView
-	primary     []primarySample
-	readAsked   mono.Time
-	// inTerm is the term in which the target has confirmed to be the primary.
-	inTerm       uint64
-	promoteAsked mono.Time
+	// lastCandidates are the candidates at the last tick, which have been the same
+	// since candidatesSince.
+	lastCandidates  []topology.Promoter
+	candidatesSince mono.Time
+	replicas        map[topology.TargetID]replicaView
+	primary         []primarySample
+	readAsked       mono.Time
+	// confirmedTerm is the latest term for which the target has confirmed that it is
+	// the primary.
+	confirmedTerm uint64
+	promoteAsked  mono.Time
 }
 
-// sentTimes remembers when the latest heartbeats to one VM were sent.
+// sentTimes records, by sequence number, when the latest heartbeats to one VM were
+// sent.
 type sentTimes struct {
 	at    map[uint64]mono.Time
 	order []uint64
 }
 
-// keptHeartbeats bounds the remembered heartbeats of a VM; older ones than these
-// have outlived the lease.
+// keptHeartbeats is how many heartbeats are recorded for each VM. Older ones were
+// sent longer ago than the lease.
 const keptHeartbeats = 32
 
-// NewHolder returns an empty table. The sequence of heartbeats starts at the
-// incarnation: an answer to an earlier start of this VM must not count as an
-// answer to a later request of this one, which would prolong the promise.
+// NewHolder returns an empty table. Sequence numbers of heartbeats contain the
+// incarnation: an answer to an earlier incarnation of this VM must not be taken as
+// an answer to a later request, which would prolong the promise.
 func NewHolder(self topology.VM, opts Options) *Holder {
 	return &Holder{
 		self:     self,
 		opts:     opts,
-		groups:   map[topology.GroupID]*held{},
+		groups:   map[topology.GroupID]*holderGroup{},
 		sent:     map[topology.VMID]*sentTimes{},
 		released: map[topology.GroupID]release{},
 		sequence: uint64(self.Incarnation) << 32,
 	}
 }
 
-// Serve makes this VM a pooler of the group's target. It may acknowledge while
-// the target is the primary of the row and the promises stand.
+// Serve makes this VM a pooler of the group's target. The VM may acknowledge writes
+// while the target is the primary of the row and the promises are valid.
 func (h *Holder) Serve(group topology.GroupID, target topology.TargetID) {
 	if g, ok := h.groups[group]; ok && g.target == target {
 		return
 	}
-	h.groups[group] = &held{
-		target:     target,
-		promises:   map[promiseKey]mono.Time{},
-		granted:    map[topology.VMID]mono.Time{},
-		shunned:    map[topology.VMID]mono.Time{},
-		replicas:   map[topology.TargetID]replicaView{},
-		settlement: newSettlement(),
+	h.groups[group] = &holderGroup{
+		target:      target,
+		promises:    map[promiseKey]mono.Time{},
+		lastGranted: map[topology.VMID]mono.Time{},
+		excluded:    map[topology.VMID]mono.Time{},
+		replicas:    map[topology.TargetID]replicaView{},
+		settlement:  newSettlement(),
 	}
 }
 
-// Drop ends this VM's part as a pooler of the group.
+// Drop ends this VM's role as a pooler of the group.
 func (h *Holder) Drop(group topology.GroupID) { delete(h.groups, group) }
 
 // Row returns the newest row of the group that the table knows, or nil.
@@ -141,7 +147,7 @@
 	return g.now.row
 }
 
-// ObserveRow takes a row read from the platform or heard from a peer.
+// ObserveRow records a row that was read from the platform or received from a peer.
 func (h *Holder) ObserveRow(read RowRead, now mono.Time) {
 	if read.Row == nil {
 		return
@@ -154,58 +160,60 @@
 	if read.Began == 0 || g.now.row.Version != read.Row.Version {
 		return
 	}
-	if !g.now.known || g.now.asOf.Before(read.Began) {
+	if !g.now.confirmed || g.now.asOf.Before(read.Began) {
 		g.now.asOf = read.Began
-		g.now.known = true
+		g.now.confirmed = true
 	}
 }
 
-// adopt replaces the row by a newer one. The row before stays usable within its
-// term: its promises still stand, so the right need not end while those under
-// the new version are asked for.
-func (h *Holder) adopt(g *held, row *topology.Group, now mono.Time) {
+// adopt replaces the row by a newer one. The previous row stays usable within its
+// term: its promises are still valid, so the right does not end while promises
+// under the new version are being requested.
+func (h *Holder) adopt(g *holderGroup, row *topology.Group, now mono.Time) {
 	if g.now.row != nil && row.Version <= g.now.row.Version {
 		return
 	}
 	h.opts.checkSuccessor(g.now.row, row)
-	g.older = h.stillRelied(g, row, now)
+	g.older = h.keptBasis(g, row, now)
 	if g.now.row == nil || g.now.row.Term != row.Term {
 		g.drain = nil
 		g.settlement = newSettlement()
 		g.replicas = map[topology.TargetID]replicaView{}
 		g.primary = nil
 	}
-	g.now = relied{row: row.Clone()}
-	g.learned = now
+	g.now = basis{row: row.Clone()}
+	g.learnedAt = now
 	if own := g.proposal; own != nil && own.row.ChangeID == row.ChangeID {
-		// The answer to this VM's own commit was lost, and a peer brought the row:
-		// it was the current one after the first try, with no platform to ask.
-		g.now.asOf = own.first
-		g.now.known = true
+		// The answer to this VM's own commit was lost, and the row came from a peer.
+		// The commit took effect after its first attempt, so the row was current at
+		// some time after that, and no platform read is needed to show it.
+		g.now.asOf = own.firstSent
+		g.now.confirmed = true
 	}
 	g.settlement.note(row, now)
-	g.granted = map[topology.VMID]mono.Time{}
+	g.lastGranted = map[topology.VMID]mono.Time{}
 	for _, p := range row.Promoters {
-		g.granted[p.VM] = now
+		g.lastGranted[p.VM] = now
 	}
 	for k := range g.promises {
 		if !g.reliesOn(k.version) {
 			delete(g.promises, k)
 		}
 	}
-	if g.proposal != nil && g.proposal.settledBy(row) {
+	if g.proposal != nil && g.proposal.supersededBy(row) {
 		g.proposal = nil
 	}
 	g.urgent = true
 }
 
-// until returns when the right under one version ends, and whether it stands.
-func (h *Holder) until(g *held, r relied, now mono.Time) (mono.Time, bool) {
-	if r.row == nil || !r.known || r.row.Primary != g.target || r.row.Version <= h.released[r.row.ID].version {
+// rightEnd returns when the right under one version ends, and whether it is valid
+// at now.
+func (h *Holder) rightEnd(g *holderGroup, r basis, now mono.Time) (mono.Time, bool) {
+	if r.row == nil || !r.confirmed || r.row.Primary != g.target || r.row.Version <= h.released[r.row.ID].version {
 		return 0, false
 	}
-	// MaxOutage: those who wait for the end of a list that nobody can speak for
-	// count on this.
+	// A VM that waits out an unsettled list of which no member can answer relies on
+	// the right ending MaxOutage after asOf.
 	end := r.asOf.Add(h.opts.MaxOutage)
 	for _, p := range r.row.Promoters {
 		sent, ok := h.promiseOf(g, p, r.row.Version)
@@ -218,9 +226,9 @@
 }
 
 // promiseOf returns when the request for the promise was sent. A promise counts
-// for its own version only: whoever promised a newer one may have let the older
-// one lapse, and said so.
-func (h *Holder) promiseOf(g *held, p topology.Promoter, version uint64) (mono.Time, bool) {
+// for its own version only: a promoter that promised under a newer version may
+// have let the older promise lapse and confirmed that to others.
+func (h *Holder) promiseOf(g *holderGroup, p topology.Promoter, version uint64) (mono.Time, bool) {
 	sent, ok := g.promises[promiseKey{p.VM, p.Incarnation, version}]
 	if !h.opts.faults.anyVersion {
 		return sent, ok
@@ -233,10 +241,10 @@
 	return sent, ok
 }
 
-// Right tells whether a write of the term may go to the primary now. Errors:
-// WrongPooler (another VM pools the target), TermRefused (another term), NoRight
-// (promises missing), Leaving (a switchover is under way); each means that nothing
-// was sent.
+// Right returns the permission to send a write of the term to the primary now.
+// Errors: WrongPooler (this VM does not pool the group or knows no row of it),
+// TermRefused (the group is in another term), NoRight (promises are missing),
+// Leaving (a switchover is in progress). No write was sent in any of these cases.
 func (h *Holder) Right(group topology.GroupID, term uint64, now mono.Time) (Right, *result.Error) {
 	g, ok := h.groups[group]
 	if !ok || g.now.row == nil {
@@ -248,20 +256,22 @@
 	if g.drain != nil {
 		return Right{}, result.New(result.Leaving, "group %s: switchover", group).After(h.opts.Heartbeat)
 	}
-	for _, r := range g.relied() {
-		if end, ok := h.until(g, r, now); ok {
+	for _, r := range g.basis() {
+		if end, ok := h.rightEnd(g, r, now); ok {
 			return Right{Group: group, Term: term, Version: r.row.Version, WaitFor: Synced(r.row.Promoters), Until: end}, nil
 		}
 	}
 	return Right{}, result.New(result.NoRight, "group %s: promises are missing", group).After(h.opts.Heartbeat)
 }
 
-// Confirm tells whether a write that ran under the right may be acknowledged at
-// now; waited says that it waited for right.WaitFor. Errors: OutcomeUnknown (the
-// right ended), NotReplicated (it did not wait for a replica that counts by now).
+// Confirm returns nil if a write that ran under the right may be acknowledged at
+// now. waited reports whether the write waited for right.WaitFor. Errors:
+// OutcomeUnknown (the right has ended), NotReplicated (the write did not wait for a
+// replica that has become synced since).
 //
-// Failure: the holder was paused between the check and the completion, and a
-// promotion went by. Its own clock has run on, so the promises have lapsed here.
+// Failure: the holder is paused between Right and the completion of the write, and
+// another replica is promoted in the meantime. The holder's clock ran on during the
+// pause, so its promises have lapsed and Confirm refuses.
 func (h *Holder) Confirm(right Right, waited bool, now mono.Time) *result.Error {
 	if h.opts.faults.noRecheck {
 		return nil
@@ -271,8 +281,8 @@
 		return result.New(result.OutcomeUnknown, "group %s left term %d", right.Group, right.Term)
 	}
 	code := result.OutcomeUnknown
-	for _, r := range g.relied() {
-		if _, ok := h.until(g, r, now); !ok {
+	for _, r := range g.basis() {
+		if _, ok := h.rightEnd(g, r, now); !ok {
 			continue
 		}
 		if !waited || h.opts.faults.confirmWithoutWaits || subset(Synced(r.row.Promoters), right.WaitFor) {
@@ -283,9 +293,9 @@
 	return result.New(code, "group %s: the right of version %d has ended", right.Group, right.Version)
 }
 
-// ObserveHeartbeat takes the answer of a VM. It counts from the instant at which
-// its request was sent. Failure: the request or the answer lay in a buffer while
-// the promoter's own count ran out; counted from receipt, the right would outlast
+// ObserveHeartbeat records the answer of a VM. Its promises count from when the
+// request was sent. Failure: the request or the answer is delayed in a buffer while
+// the promise lapses at the promoter; counted from receipt, the right would outlast
 // the promise.
 func (h *Holder) ObserveHeartbeat(from topology.VMID, resp HeartbeatResponse, now mono.Time) {
 	s, ok := h.sent[from]
@@ -306,7 +316,7 @@
 	}
 }
 
-func (h *Holder) observePromise(g *held, from topology.VMID, inc topology.Incarnation, p Promise, sent, now mono.Time) {
+func (h *Holder) observePromise(g *holderGroup, from topology.VMID, inc topology.Incarnation, p Promise, sent, now mono.Time) {
 	if p.Row != nil {
 		h.adopt(g, p.Row, now)
 	}
@@ -327,13 +337,13 @@
 		g.promises[key] = sent
 	}
 	_, current := entryOf(g.now.row.Promoters, from, inc)
-	if current && p.Version == g.now.row.Version && g.granted[from].Before(sent) {
-		g.granted[from] = sent
+	if current && p.Version == g.now.row.Version && g.lastGranted[from].Before(sent) {
+		g.lastGranted[from] = sent
 	}
 }
 
-// registered is the planted mistake that takes any start of a VM for the one in
-// the list.
+// registered implements the planted mistake keepOldIncarnation: it replaces the
+// incarnation of an answer by the one in the list.
 func registered(row *topology.Group, vm topology.VMID, inc topology.Incarnation) topology.Incarnation {
 	for _, p := range row.Promoters {
 		if p.VM == vm {
--- a/pkg/authority/holder_answers.go
+++ b/pkg/authority/holder_answers.go
@@ -6,8 +6,8 @@
 	"github.com/buckthornshore/buckthornshore/pkg/mono"
 )
 
-// HandleRelease gives up the right under the version and all earlier ones, for
-// good. A promise still on its way counts for nothing any more.
+// HandleRelease permanently gives up the right under the version and all earlier
+// ones. Promises under these versions that arrive later have no effect.
 func (h *Holder) HandleRelease(req ReleaseRightRequest, now mono.Time) ReleaseRightResponse {
 	resp := ReleaseRightResponse{Group: req.Group, Version: req.Version, Released: true}
 	if h.released[req.Group].version < req.Version {
@@ -16,9 +16,9 @@
 	return resp
 }
 
-// ObserveCommit takes the result of a CommitRow of this table. After Committed
-// the caller gives the row to ObserveRow of both tables, Began being when the
-// commit was sent.
+// ObserveCommit records the result of a CommitRow of this table. After Committed
+// the caller passes the row to ObserveRow of Holder and Promoter, with Began set to
+// when the commit was sent.
 func (h *Holder) ObserveCommit(r CommitResult, now mono.Time) {
 	g, ok := h.groups[r.Group]
 	if !ok {
@@ -32,7 +32,7 @@
 	}
 }
 
-// ObserveWithdraw takes the answer to a SendWithdraw of this table.
+// ObserveWithdraw records the answer to a SendWithdraw of this table.
 func (h *Holder) ObserveWithdraw(r WithdrawResponse, now mono.Time) {
 	if g, ok := h.groups[r.Group]; ok {
 		g.settlement.observe(&h.opts, r, now)
--- a/pkg/authority/holder_changes.go
+++ b/pkg/authority/holder_changes.go
@@ -9,13 +9,13 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// propose changes the row: one change at a time, the most urgent first.
+// propose changes the row, one change at a time and the most urgent first.
 //
-// Failure: the primary is dead, the promoters withdraw, and the holder takes
-// their silence for a reason to change the list; each change ends the attempts
-// under way. Without a primary there is nothing to acknowledge, so it leaves the
-// row to the promoters.
-func (h *Holder) propose(g *held, now mono.Time) []Action {
+// While the primary is dead, the holder starts no change, since there is nothing to
+// acknowledge. Failure: the primary is dead, the promoters withdraw their promises,
+// and the holder replaces them for no longer promising; each change of the list ends
+// the promotion attempts in progress.
+func (h *Holder) propose(g *holderGroup, now mono.Time) []Action {
 	if g.proposal == nil && g.health == Dead {
 		return nil
 	}
@@ -24,7 +24,7 @@
 		if next == nil {
 			return nil
 		}
-		g.proposal = &proposal{row: next, again: true}
+		g.proposal = &proposal{row: next, retrySoon: true}
 	}
 	if !g.proposal.due(&h.opts, now) {
 		return nil
@@ -32,7 +32,7 @@
 	return []Action{CommitRow{Row: g.proposal.row.Clone()}}
 }
 
-func (h *Holder) nextRow(g *held, now mono.Time) *topology.Group {
+func (h *Holder) nextRow(g *holderGroup, now mono.Time) *topology.Group {
 	row := g.now.row
 	list := h.wantedList(g, now)
 	if !slices.Equal(list, row.Promoters) {
@@ -40,8 +40,8 @@
 			return next
 		}
 	}
-	// The promotion that the right was released for did not come: without a new
-	// version nobody could acknowledge again.
+	// The right was released for a promotion that did not take place. Without a new
+	// version no VM could acknowledge writes again.
 	released := h.released[row.ID]
 	stuck := released.version >= row.Version && now.Sub(released.at) > renewAfter
 	if stuck {
@@ -50,35 +50,39 @@
 	return h.settle(g, now)
 }
 
-// wantedList is the list without those that fell silent and those not wanted any
-// more, with the candidates that are missing, and with what is synced by now.
-func (h *Holder) wantedList(g *held, now mono.Time) []topology.Promoter {
-	if g.lostAll(h.opts, now) {
+// wantedList returns the promoter list that the row should have: without entries
+// that are silent or no longer candidates, with the candidates that are missing,
+// and with the Synced flags up to date.
+func (h *Holder) wantedList(g *holderGroup, now mono.Time) []topology.Promoter {
+	if g.allSyncedSilent(h.opts, now) {
 		return slices.Clone(g.now.row.Promoters)
 	}
 	list, urgent := h.remaining(g, now)
-	// Failure: at a start the VMs hear of each other one by one, and each time the
-	// list changes: seven rows and two unsettled lists within 300 ms. A change that
-	// keeps the right going can't wait, nor one that classes wait for because no
-	// replica is synced; any other one waits until the view rests.
-	// The first row's writer may have known itself alone, so that list can't wait.
+	// Failure: at startup the VMs discover each other one by one, and each discovery
+	// changes the list: seven rows and two unsettled lists within 300 ms. A change
+	// that is needed to keep the right is made at once, and so is any change while no
+	// replica is synced, because classes that wait for a replica are refused until
+	// then. Other changes wait until the candidates have been stable for a while.
+	// The VM that wrote the first row may have known only itself, so that list is
+	// also changed at once.
 	first := g.now.row.Version == firstVersion
-	urgent = urgent || first || len(Synced(g.now.row.Promoters)) == 0 || g.crowded()
-	if urgent || now.Sub(g.viewedSince) >= settledView {
-		list = slices.DeleteFunc(list, func(p topology.Promoter) bool { return !g.wants(p) })
+	urgent = urgent || first || len(Synced(g.now.row.Promoters)) == 0 || g.moreVMsAvailable()
+	if urgent || now.Sub(g.candidatesSince) >= candidatesStableFor {
+		list = slices.DeleteFunc(list, func(p topology.Promoter) bool { return !g.isCandidate(p) })
 		list = g.addMissing(list, now)
 	}
-	list = h.keepOne(g, list, now)
+	list = h.keepNonEmpty(g, list, now)
 	for i, p := range list {
 		list[i].Synced = g.wantSynced(p, now)
 	}
 	return list
 }
 
-// crowded reports whether fewer VMs are listed than could be. Failure: at a start
-// a VM knows itself alone and lists itself for every replica; it dies with the
-// primary, and nobody is left who could speak for the list before MaxOutage.
-func (g *held) crowded() bool {
+// moreVMsAvailable reports whether the candidates have more distinct VMs than the
+// list. Failure: at startup a VM knows only itself and lists itself for every
+// replica; it dies together with the primary, and no member of the list is left
+// that could confirm a withdrawal before MaxOutage has passed.
+func (g *holderGroup) moreVMsAvailable() bool {
 	return countVMs(g.now.row.Promoters) < countVMs(g.candidates)
 }
 
@@ -90,20 +94,21 @@
 	return len(vms)
 }
 
-// lostAll reports whether every synced promoter fell silent not long ago. One
-// that answers and refuses is not silent.
+// allSyncedSilent reports whether the promoters of all synced replicas fell silent
+// recently, at most placeholderAfter ago. A promoter that answers with a refusal is
+// not silent.
 //
 // Failure: the primary's data centre is cut off from the others but not from the
-// platform. VMs at hand would take the promoters' places, for replicas that they
-// can't reach: no class that waits for a replica is served here any more, and
-// those that hold the writes may not promote either. They get their time to
-// promote first.
-func (g *held) lostAll(opts Options, now mono.Time) bool {
+// platform. VMs of that data centre would replace the promoters, for replicas that
+// they can't reach. Classes that wait for a replica could then not be served here,
+// and the VMs whose replicas hold the writes could not promote either. So the list
+// stays unchanged until they have had time to promote.
+func (g *holderGroup) allSyncedSilent(opts Options, now mono.Time) bool {
 	synced := Synced(g.now.row.Promoters)
 	if len(synced) == 0 {
 		return false
 	}
-	least := caretakerAfter + 1
+	least := placeholderAfter + 1
 	for _, replica := range synced {
 		v, ok := g.replicas[replica]
 		if !ok {
@@ -111,15 +116,15 @@
 		}
 		least = min(least, now.Sub(v.at))
 	}
-	return least > opts.Heartbeat+lateAnswer && least <= caretakerAfter
+	return least > opts.Heartbeat+answerTolerance && least <= placeholderAfter
 }
 
-// remaining are the entries that are not silent, and whether any other is.
-func (h *Holder) remaining(g *held, now mono.Time) ([]topology.Promoter, bool) {
+// remaining returns the entries that are not silent, and whether any entry is.
+func (h *Holder) remaining(g *holderGroup, now mono.Time) ([]topology.Promoter, bool) {
 	var list []topology.Promoter
 	for _, p := range g.now.row.Promoters {
-		if now.Sub(g.granted[p.VM]) > h.opts.ReplaceAfter {
-			g.shunned[p.VM] = now.Add(shunFor)
+		if now.Sub(g.lastGranted[p.VM]) > h.opts.ReplaceAfter {
+			g.excluded[p.VM] = now.Add(exclusionPeriod)
 			continue
 		}
 		list = append(list, p)
@@ -128,13 +133,13 @@
 }
 
 // addMissing adds the candidates that are not listed.
-func (g *held) addMissing(list []topology.Promoter, now mono.Time) []topology.Promoter {
+func (g *holderGroup) addMissing(list []topology.Promoter, now mono.Time) []topology.Promoter {
 	row := g.now.row
 	for _, c := range g.candidates {
 		_, listed := entryOf(list, c.VM, c.Incarnation)
 		_, old := entryOf(row.Promoters, c.VM, c.Incarnation)
-		shunned := (old || !restarted(row, c)) && g.shunned[c.VM].After(now)
-		if listed || shunned || c.Replica == row.Primary {
+		excluded := (old || !restarted(row, c)) && g.excluded[c.VM].After(now)
+		if listed || excluded || c.Replica == row.Primary {
 			continue
 		}
 		c.Synced = slices.Contains(Synced(row.Promoters), c.Replica)
@@ -143,8 +148,9 @@
 	return list
 }
 
-// wants reports whether the entry may stay.
-func (g *held) wants(p topology.Promoter) bool {
+// isCandidate reports whether the entry is among the candidates. It is true for all
+// entries while no candidates are set.
+func (g *holderGroup) isCandidate(p topology.Promoter) bool {
 	if g.candidates == nil {
 		return true
 	}
@@ -153,26 +159,27 @@
 	})
 }
 
-// keepOne makes this VM itself the list's caretaker when every other entry has
-// been silent for long. Not at once: those that are merely cut off from here, and
-// reach the platform, are to promote on their side first. An entry for the
-// primary itself never promotes; it goes once another entry promises.
-func (h *Holder) keepOne(g *held, list []topology.Promoter, now mono.Time) []topology.Promoter {
+// keepNonEmpty lists this VM as a placeholder when every other entry has been
+// silent for placeholderAfter. It waits that long so that promoters that are only
+// cut off from this VM, but reach the platform, can promote first. The placeholder's
+// replica is the primary itself, so it never promotes. It is removed once all other
+// entries have promised.
+func (h *Holder) keepNonEmpty(g *holderGroup, list []topology.Promoter, now mono.Time) []topology.Promoter {
 	row := g.now.row
 	self := topology.Promoter{VM: h.self.ID, Incarnation: h.self.Incarnation, Replica: g.target}
-	_, caretaker := entryOf(row.Promoters, self.VM, self.Incarnation)
-	if caretaker && h.promising(g, withoutVM(list, self.VM)) {
+	_, placeholder := entryOf(row.Promoters, self.VM, self.Incarnation)
+	if placeholder && h.allPromised(g, withoutVM(list, self.VM)) {
 		return withoutVM(list, self.VM)
 	}
 	_, listed := entryOf(list, self.VM, self.Incarnation)
-	if caretaker && !listed {
+	if placeholder && !listed {
 		return append(list, self)
 	}
 	if len(list) > 0 {
 		return list
 	}
-	for _, at := range g.granted {
-		if now.Sub(at) <= caretakerAfter {
+	for _, at := range g.lastGranted {
+		if now.Sub(at) <= placeholderAfter {
 			return slices.Clone(row.Promoters)
 		}
 	}
@@ -183,9 +190,9 @@
 	return slices.DeleteFunc(slices.Clone(list), func(p topology.Promoter) bool { return p.VM == vm })
 }
 
-// promising reports whether there are entries and each has promised under the
-// current version.
-func (h *Holder) promising(g *held, list []topology.Promoter) bool {
+// allPromised reports whether the list is not empty and each of its entries has
+// promised under the current version.
+func (h *Holder) allPromised(g *holderGroup, list []topology.Promoter) bool {
 	if len(list) == 0 {
 		return false
 	}
@@ -197,16 +204,16 @@
 	return true
 }
 
-// restarted reports whether the VM stands in the row with another incarnation:
-// then its silence is explained and it may come back at once.
+// restarted reports whether the row lists the VM with another incarnation. The
+// restart explains its silence, so it may be listed again at once.
 func restarted(row *topology.Group, c topology.Promoter) bool {
 	return slices.ContainsFunc(row.Promoters, func(p topology.Promoter) bool {
 		return p.VM == c.VM && p.Incarnation != c.Incarnation
 	})
 }
 
-// observeReplica keeps what a promoter says of its replica.
-func (g *held) observeReplica(target topology.TargetID, p Promise, now mono.Time) {
+// observeReplica records what a promoter reports about its replica.
+func (g *holderGroup) observeReplica(target topology.TargetID, p Promise, now mono.Time) {
 	v := g.replicas[target]
 	v.reachable = p.ReplicaReachable
 	v.at = now
@@ -216,33 +223,34 @@
 	g.replicas[target] = v
 }
 
-// wantSynced decides whether waiting writes should wait for the entry's replica.
-// Positions are reported at intervals, so under writes a replica that is well
-// holds what the primary held a moment ago, never its newest position.
-func (g *held) wantSynced(p topology.Promoter, now mono.Time) bool {
+// wantSynced reports whether writes of classes that wait should wait for the
+// entry's replica. Positions are reported at intervals, so while there are writes
+// the reported position of a healthy replica is always behind the primary's newest
+// one. It is compared with the primary's earlier positions instead.
+func (g *holderGroup) wantSynced(p topology.Promoter, now mono.Time) bool {
 	if p.Replica == g.now.row.Primary {
 		return false
 	}
 	v := g.replicas[p.Replica]
 	if !p.Synced {
-		return v.reachable && now.Sub(v.at) < freshPrimary && g.holdsSince(p.Replica, now.Add(-freshPrimary))
+		return v.reachable && now.Sub(v.at) < maxPrimaryAge && g.holdsSince(p.Replica, now.Add(-maxPrimaryAge))
 	}
-	sampled := len(g.primary) > 0 && now.Sub(g.primary[len(g.primary)-1].began) < freshPrimary/2
-	return !sampled || !g.watchedFor(unsyncAfter, now) || g.holdsSince(p.Replica, now.Add(-unsyncAfter))
+	sampled := len(g.primary) > 0 && now.Sub(g.primary[len(g.primary)-1].began) < maxPrimaryAge/2
+	return !sampled || !g.samplesReachBack(unsyncAfter, now) || g.holdsSince(p.Replica, now.Add(-unsyncAfter))
 }
 
-// watchedFor reports whether the primary's samples reach back for d. Those of a
-// holder that has just taken over do not, and positions of replicas are older
-// than they: were all replicas taken for lagging, classes that wait would find
-// none right after a handover. To wait for one that does lag costs time, never
-// a write.
-func (g *held) watchedFor(d time.Duration, now mono.Time) bool {
+// samplesReachBack reports whether the samples of the primary's position reach back
+// for d. A holder that has just taken over has newer samples only, and the reported
+// positions of replicas are older than these. If all replicas counted as lagging
+// then, classes that wait would be refused right after a handover. Waiting for a
+// replica that does lag costs time but loses no write.
+func (g *holderGroup) samplesReachBack(d time.Duration, now mono.Time) bool {
 	return len(g.primary) > 0 && !g.primary[0].began.After(now.Add(-d))
 }
 
-// holdsSince reports whether the replica holds a position that the primary had
-// in a fetch begun at or after at.
-func (g *held) holdsSince(target topology.TargetID, at mono.Time) bool {
+// holdsSince reports whether the replica has reached a position that the primary
+// reported in a status fetch begun at or after at.
+func (g *holderGroup) holdsSince(target topology.TargetID, at mono.Time) bool {
 	v, ok := g.replicas[target]
 	if !ok {
 		return false
@@ -252,18 +260,19 @@
 	})
 }
 
-// settle clears the unsettled lists under which no right is left.
-func (h *Holder) settle(g *held, now mono.Time) *topology.Group {
+// settle returns the row without the unsettled lists under which no right is left,
+// or nil if there are none to remove.
+func (h *Holder) settle(g *holderGroup, now mono.Time) *topology.Group {
 	row := g.now.row
 	var done []uint64
-	since := g.learned
+	since := g.learnedAt
 	for _, l := range row.Unsettled {
 		at, ok := g.settlement.provenAt(&h.opts, l.Version, now)
 		if !ok {
 			continue
 		}
 		more := keepCompleteness(row, append(slices.Clone(done), l.Version))
-		if !g.stillHeld(Settle(row, more, ""), max(since, at)) {
+		if !g.stillCovered(Settle(row, more, ""), max(since, at)) {
 			continue
 		}
 		done = more
@@ -275,15 +284,17 @@
 	return Settle(row, done, h.changeID())
 }
 
-// stillHeld reports whether what waited under the lists that next has no more
-// stays covered: for each of them, next has a list whose synced replicas all hold
-// it. A candidate of next is synced in that list or holds as much as one of them.
+// stillCovered reports whether the writes that waited under the lists that next
+// removes stay protected: for each removed list, next has a list whose synced
+// replicas all hold these writes. A replica that may be promoted under next is
+// either synced in that list or holds as much as one of its synced replicas.
 //
-// Failure: a write waited for the replicas of the list that goes, and not for
-// this one, which is then promoted without it. All such writes were there when
-// the last right under that list had ended; since is also after this row was
-// learned, and so after the lists that other holders settled had ended.
-func (g *held) stillHeld(next *topology.Group, since mono.Time) bool {
+// Failure: a write waited for the replicas of the removed list but not for a
+// replica of the remaining one, which is then promoted without it. All such writes
+// were in the primary's log when the last right under the removed list ended. since
+// is not before that, nor before this row was learned, and so not before the rights
+// ended under the lists that other holders settled.
+func (g *holderGroup) stillCovered(next *topology.Group, since mono.Time) bool {
 	stay := syncedLists(next)
 	for _, gone := range syncedLists(g.now.row) {
 		covers := func(list []topology.TargetID) bool {
@@ -298,8 +309,8 @@
 	return true
 }
 
-// keepCompleteness leaves the newest list with a synced entry in place while the
-// current one has none: it alone tells which replicas are complete.
+// keepCompleteness keeps the newest list with a synced entry while the current list
+// has none, because only that list shows which replicas are complete.
 func keepCompleteness(row *topology.Group, done []uint64) []uint64 {
 	if len(Synced(row.Promoters)) > 0 {
 		return done
--- a/pkg/authority/holder_test.go
+++ b/pkg/authority/holder_test.go
@@ -10,26 +10,27 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// heldGroup is a holder of one group whose promoters all promise but the silent.
-type heldGroup struct {
+// holderFixture is a holder of one group. All of its promoters grant promises, except
+// for the silent ones.
+type holderFixture struct {
 	h      *Holder
 	silent map[topology.VMID]bool
 	beats  int
 	rows   []*topology.Group
 }
 
-func newHeldGroup(list ...topology.Promoter) *heldGroup {
+func newHolderFixture(list ...topology.Promoter) *holderFixture {
 	opts := DefaultOptions()
 	opts.CheckInvariants = true
 	h := NewHolder(topology.VM{ID: "vm0", Incarnation: 1}, opts)
 	h.Serve(testGroup, "db0")
 	row := &topology.Group{ID: testGroup, Version: 2, Term: 1, Primary: "db0", Promoters: list}
 	h.ObserveRow(RowRead{Row: row, Began: second}, second)
-	return &heldGroup{h: h, silent: map[topology.VMID]bool{}}
+	return &holderFixture{h: h, silent: map[topology.VMID]bool{}}
 }
 
-// run ticks from one instant to another, answers and commits.
-func (x *heldGroup) run(from, to mono.Time) {
+// run ticks from one time to another and carries out the actions.
+func (x *holderFixture) run(from, to mono.Time) {
 	for now := from; now < to; now = now.Add(step) {
 		for _, a := range x.h.Tick(now) {
 			x.carryOut(a, now)
@@ -37,7 +38,7 @@
 	}
 }
 
-func (x *heldGroup) carryOut(a Action, now mono.Time) {
+func (x *holderFixture) carryOut(a Action, now mono.Time) {
 	switch a := a.(type) {
 	case SendHeartbeat:
 		x.beats++
@@ -61,11 +62,11 @@
 }
 
 var _ = Describe("list changes", func() {
-	// A start: the VMs hear of each other one by one. Callers notice nothing, but
-	// each step used to be a row and an unsettled list; a primary killed then was
-	// replaced late or not at all. Now one row tells all of it.
-	It("come in one row once the view of the VMs rests", func() {
-		x := newHeldGroup(candidate(1, true), candidate(2, true))
+	// At startup the VMs discover each other one by one. If each discovery caused a new
+	// row and an unsettled list, a primary killed at that time was replaced late or not
+	// at all. The changes must be combined in one row.
+	It("are combined in one row once the candidates are stable", func() {
+		x := newHolderFixture(candidate(1, true), candidate(2, true))
 		x.run(second, second.Add(100*time.Millisecond))
 		x.h.Candidates(testGroup, []topology.Promoter{candidate(1, true), candidate(3, false)})
 		x.run(second.Add(100*time.Millisecond), second.Add(400*time.Millisecond))
@@ -77,12 +78,12 @@
 		Expect(x.rows[0].Promoters).To(ConsistOf(HaveField("VM", topology.VMID("vm3")), HaveField("VM", topology.VMID("vm4"))))
 	})
 
-	// A VM that knew itself alone listed itself for both replicas. If it dies with
-	// the primary nobody may promote, so the first other VM is listed at once.
-	It("don't wait while one VM is listed for more than it need be", func() {
+	// A VM that knew only itself listed itself for both replicas. If it dies together
+	// with the primary, no replica can be promoted, so another VM is listed at once.
+	It("don't wait while one VM is listed for several replicas", func() {
 		alone := candidate(1, true)
 		alone.Replica = targetName(2)
-		x := newHeldGroup(candidate(1, true), alone)
+		x := newHolderFixture(candidate(1, true), alone)
 		x.run(second, second.Add(100*time.Millisecond))
 		x.h.Candidates(testGroup, []topology.Promoter{candidate(1, true), candidate(2, true)})
 		x.run(second.Add(100*time.Millisecond), second.Add(200*time.Millisecond))
@@ -90,10 +91,10 @@
 		Expect(countVMs(x.rows[0].Promoters)).To(Equal(2))
 	})
 
-	// A promoter falls silent while the view changes all the time. The right ends
-	// with its last promise, so callers' writes would stop: this change can't wait.
+	// A promoter falls silent while the candidates keep changing. The right would end
+	// with its last promise and callers' writes would stop, so this change is urgent.
 	It("don't wait when the right would end", func() {
-		x := newHeldGroup(candidate(1, true), candidate(2, true))
+		x := newHolderFixture(candidate(1, true), candidate(2, true))
 		x.silent["vm2"] = true
 		last := 1400 * time.Millisecond
 		for at := time.Duration(0); at < last; at += 100 * time.Millisecond {
@@ -107,12 +108,13 @@
 })
 
 var _ = Describe("heartbeats", func() {
-	// After a promotion no replica is synced, and callers' waiting writes are
-	// refused until a heartbeat tells of one that is. So heartbeats hurry, and at
-	// rest, with a synced entry or without any in sight, they don't.
-	It("hurry only while a replica may become synced", func() {
+	// After a promotion no replica is synced, and callers' writes that wait for one are
+	// refused until an answer to a heartbeat shows that one has caught up. Heartbeats are
+	// sent at the shorter interval then, but not with a synced entry or when no replica
+	// has caught up for a while.
+	It("are more frequent only while a replica may become synced", func() {
 		beats := func(list topology.Promoter, from, to time.Duration) int {
-			x := newHeldGroup(list)
+			x := newHolderFixture(list)
 			x.run(second, second.Add(from))
 			x.beats = 0
 			x.run(second.Add(from), second.Add(to))
@@ -120,6 +122,6 @@
 		}
 		Expect(beats(candidate(1, true), 0, time.Second)).To(BeNumerically("<=", 5))
 		Expect(beats(candidate(1, false), 0, time.Second)).To(BeNumerically(">=", 15))
-		Expect(beats(candidate(1, false), hurryFor, hurryFor+time.Second)).To(BeNumerically("<=", 5))
+		Expect(beats(candidate(1, false), fastHeartbeatPeriod, fastHeartbeatPeriod+time.Second)).To(BeNumerically("<=", 5))
 	})
 })
--- a/pkg/authority/invariant.go
+++ b/pkg/authority/invariant.go
@@ -14,7 +14,7 @@
 	panic(result.New(result.InvariantBroken, format, args...))
 }
 
-// checkSuccessor asserts what must hold between two rows of a group.
+// checkSuccessor checks the invariants between a row of a group and a newer one.
 func (o *Options) checkSuccessor(old, row *topology.Group) {
 	o.invariant(len(row.Promoters) > 0, "group %s version %d has no promoters", row.ID, row.Version)
 	if old == nil {
--- a/pkg/authority/mistakes_test.go
+++ b/pkg/authority/mistakes_test.go
@@ -8,18 +8,18 @@
 	. "github.com/onsi/gomega"
 )
 
-// mistakeRuns bounds the runs in which a planted mistake must show.
+// mistakeRuns is the maximum number of runs in which a planted mistake must be caught.
 const mistakeRuns = 150
 
-// mistake is one planted mistake and what brings it out: a choice of faults in
-// random order, or a script where a random order would take too many runs.
+// mistake is one planted mistake and the faults that expose it: a choice of faults in
+// random order, or a script if a random order would take too many runs.
 type mistake struct {
 	plant  func(*mutations)
 	kinds  []fault
 	script func(*world)
 }
 
-// runMistake plays one seed.
+// runMistake runs the world with one seed.
 func runMistake(m mistake, seed uint64, opts Options) *world {
 	w := newWorld(seed, opts)
 	if m.script != nil {
@@ -35,8 +35,8 @@
 	return w
 }
 
-// missedReplica: a write that was sent when db1 alone was synced reaches the
-// primary after db2 has become synced, too, and db2 is promoted without it.
+// missedReplica scripts a write that is sent while only db1 is synced and reaches the
+// primary after db2 has become synced too; db2 is then promoted without it.
 func missedReplica(w *world) {
 	w.dbs[2].lagging = true
 	w.run(3 * time.Second)
@@ -49,16 +49,17 @@
 	w.run(2 * time.Second)
 }
 
-// releasedThenChanged: vm2 restarts, and the holder changes the list for that only
-// when its old start has been silent for long. Just before, vm1 has the right of
-// the old version released and cannot commit; it hears of the change from the
-// platform alone, and promotes under the new version without having promised it.
+// releasedThenChanged scripts a restart of vm2, for which the holder changes the list
+// once the old incarnation has been silent for ReplaceAfter. Just before, vm1 requests
+// the release of the right under the old version and can't commit. It learns of the
+// list change from the platform only, and promotes under the new version, under which
+// it has not promised.
 func releasedThenChanged(w *world) {
 	w.vms[2].start()
 	w.run(100*time.Millisecond + time.Duration(w.rng.Int64N(int64(500*time.Millisecond))))
 	w.vms[1].suspects = true
 	w.run(20 * time.Millisecond)
-	w.platCut[1] = true
+	w.platformCut[1] = true
 	w.run(100*time.Millisecond + time.Duration(w.rng.Int64N(int64(100*time.Millisecond))))
 	w.cut[0][1] = true
 	before := w.last.Version
@@ -66,19 +67,20 @@
 		w.run(step)
 	}
 	w.run(3 * step)
-	w.platCut[0] = true
-	w.platCut[1] = false
+	w.platformCut[0] = true
+	w.platformCut[1] = false
 	w.run(2 * time.Second)
 }
 
-// staleProof: db1 alone is synced, db2 has caught up, and the holder can't mark
-// it. vm2 hears what db1 holds, and is cut off from the primary, which goes on
-// acknowledging writes that wait for db1 until vm2's last promise lapses. What db1
-// held before does not show that db2 holds these.
+// staleProof scripts a promotion of db2 after it has caught up while only db1 is synced
+// and the holder can't commit a row that marks db2. vm2 receives the position of db1 and
+// is then cut off from the primary, which acknowledges further writes that wait for db1
+// until vm2's last promise lapses. The earlier position of db1 does not show that db2
+// holds these writes.
 func staleProof(w *world) {
 	w.dbs[2].lagging = true
 	w.run(3 * time.Second)
-	w.platCut[0] = true
+	w.platformCut[0] = true
 	w.dbs[2].lagging = false
 	w.run(time.Second)
 	w.vms[2].suspects = true
@@ -93,28 +95,28 @@
 		m.plant(&opts.faults)
 		for seed := range uint64(mistakeRuns) {
 			w := runMistake(m, seed, opts)
-			if w.broken == "" {
+			if w.violation == "" {
 				continue
 			}
-			AddReportEntry("caught", w.broken)
-			GinkgoWriter.Println("seed", seed, w.broken)
+			AddReportEntry("caught", w.violation)
+			GinkgoWriter.Println("seed", seed, w.violation)
 			// The same run without the mistake breaks nothing.
-			Expect(runMistake(m, seed, modelOptions()).broken).To(BeEmpty())
+			Expect(runMistake(m, seed, modelOptions()).violation).To(BeEmpty())
 			return
 		}
 		Fail("not caught")
 	},
 		Entry("no wait for the promises to lapse", mistake{
 			plant: func(m *mutations) { m.skipLapse = true },
-			kinds: []fault{suspect, isolate, mend},
+			kinds: []fault{suspect, isolate, healAll},
 		}),
 		Entry("promises count from receipt", mistake{
 			plant: func(m *mutations) { m.countFromReceipt = true },
-			kinds: []fault{lossy, suspect, suspect, isolate, mend},
+			kinds: []fault{messageLoss, suspect, suspect, isolate, healAll},
 		}),
 		Entry("no check before the acknowledgement", mistake{
 			plant: func(m *mutations) { m.noRecheck = true },
-			kinds: []fault{pause, suspect, isolate, mend},
+			kinds: []fault{pause, suspect, isolate, healAll},
 		}),
 		Entry("a promise of another version counts", mistake{
 			plant:  func(m *mutations) { m.anyVersion = true },
@@ -122,25 +124,25 @@
 		}),
 		Entry("an unsynced entry promotes", mistake{
 			plant: func(m *mutations) { m.promoteUnsynced = true },
-			kinds: []fault{lagging, lagging, suspect, isolate, mend},
+			kinds: []fault{lagging, lagging, suspect, isolate, healAll},
 		}),
 		Entry("unsettled lists are ignored", mistake{
 			plant: func(m *mutations) { m.ignoreUnsettled = true },
-			kinds: []fault{restart, isolate, suspect, suspect, lagging, cutBoth, cutBoth, mend},
+			kinds: []fault{restart, isolate, suspect, suspect, lagging, cutBoth, cutBoth, healAll},
 		}),
-		Entry("a restarted VM speaks as its earlier start", mistake{
+		Entry("a restarted VM answers as its earlier incarnation", mistake{
 			plant: func(m *mutations) { m.keepOldIncarnation = true },
-			kinds: []fault{restart, restart, restart, suspect, suspect, isolate, mend},
+			kinds: []fault{restart, restart, restart, suspect, suspect, isolate, healAll},
 		}),
 		Entry("the margin is ignored", mistake{
 			plant: func(m *mutations) { m.ignoreMargin = true },
-			kinds: []fault{isolate, suspect, mend},
+			kinds: []fault{isolate, suspect, healAll},
 		}),
 		Entry("a write is confirmed that missed a synced replica", mistake{
 			plant:  func(m *mutations) { m.confirmWithoutWaits = true },
 			script: missedReplica,
 		}),
-		Entry("a position from before the end of the rights proves", mistake{
+		Entry("a position from before the end of the rights counts as a proof", mistake{
 			plant:  func(m *mutations) { m.stalePosition = true },
 			script: staleProof,
 		}),
--- a/pkg/authority/model_test.go
+++ b/pkg/authority/model_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestAuthority fixes rapid's seed, so that each run is the same one.
+// TestAuthority sets a fixed seed for rapid, so that runs are reproducible.
 func TestAuthority(t *testing.T) {
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.nofailfile": "true", "rapid.shrinktime": "3s", "rapid.checks": "60"} {
 		if f := flag.Lookup(name); f != nil && f.Value.String() == f.DefValue {
@@ -25,8 +25,9 @@
 	RunSpecs(t, "authority")
 }
 
-// modelOptions shorten what would make runs long, and widen the margin with the
-// model's clock error, so that ignoring it shows.
+// modelOptions returns options with shorter durations, which keep runs short, and a
+// margin that fits the model's clock error, which is large enough to expose a mistake
+// that ignores the margin.
 func modelOptions() Options {
 	o := DefaultOptions()
 	o.MarginPerMille = 2*clockError + 20
@@ -37,13 +38,13 @@
 	return o
 }
 
-// healedWithin bounds the time from the end of all faults to a write that is
-// acknowledged: a list that nobody can speak for (MaxOutage, stretched) comes on
-// top of what a failover takes.
+// healedWithin is the maximum time from the end of all faults to an acknowledged write.
+// It includes a failover and the wait for an unsettled list of which no member can
+// answer (MaxOutage, stretched).
 const healedWithin = 12 * time.Second
 
-// schedule draws one run of the world and returns it. Rapid draws the order of
-// the faults, and shrinks it; the world's own seed draws their details.
+// schedule draws a run of the world, performs it and returns the world. Rapid draws and
+// shrinks the order of the faults; the world's own seed determines their details.
 func schedule(t *rapid.T, opts Options) *world {
 	w := newWorld(rapid.Uint64().Draw(t, "seed"), opts)
 	kinds := swarm(w.rng)
@@ -52,7 +53,7 @@
 	return w
 }
 
-// play runs the faults in their order, then mends all.
+// play injects the faults in the given order, then ends all of them.
 func (w *world) play(kinds []fault, order []uint16) {
 	w.script(func(w *world) {
 		for _, k := range order {
@@ -62,8 +63,8 @@
 	})
 }
 
-// script runs faults, then mends all. A broken invariant of the package is a
-// violation as those of the world are.
+// script runs faults, then ends all of them. A broken invariant of the package counts
+// as a violation, like a failed check of the world.
 func (w *world) script(faults func(*world)) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -72,15 +73,16 @@
 	}()
 	w.run(time.Second)
 	faults(w)
-	w.settleDown()
+	w.checkRecovery()
 }
 
-// settleDown mends everything and expects acknowledged writes of both kinds.
-func (w *world) settleDown() {
+// checkRecovery ends all faults and expects an acknowledged write that waited for a
+// replica.
+func (w *world) checkRecovery() {
 	w.heal()
 	start := w.now
 	acked := len(w.acks)
-	for w.now-start < healedWithin && w.broken == "" {
+	for w.now-start < healedWithin && w.violation == "" {
 		w.run(100 * time.Millisecond)
 		waited := false
 		for _, a := range w.acks[acked:] {
@@ -90,7 +92,7 @@
 			return
 		}
 	}
-	if w.broken == "" {
+	if w.violation == "" {
 		w.fail("no waited write within %v of the end of all faults; row %+v", healedWithin, w.last)
 	}
 }
@@ -98,15 +100,15 @@
 var _ = Describe("model check", func() {
 	property := func(opts Options) func(*rapid.T) {
 		return func(t *rapid.T) {
-			if w := schedule(t, opts); w.broken != "" {
-				t.Fatal(w.broken)
+			if w := schedule(t, opts); w.violation != "" {
+				t.Fatal(w.violation)
 			}
 		}
 	}
 
-	// Every schedule of faults: no two terms acknowledge at once, no waited write
-	// vanishes, every other one that does is in the history, and once all is
-	// mended writes are acknowledged again.
+	// Under every schedule of faults, no two terms acknowledge at the same time, no write
+	// that waited for a replica is lost, every other lost write is reported by the
+	// history, and writes are acknowledged again after all faults have ended.
 	It("holds its invariants under any schedule", func() {
 		rapid.Check(GinkgoT(), property(modelOptions()))
 	})
--- a/pkg/authority/promoter.go
+++ b/pkg/authority/promoter.go
@@ -12,68 +12,70 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Promoter is the table of groups that this VM promises in and may promote in.
-// Not safe for concurrent use.
+// Promoter is the table of groups in which this VM gives promises and may promote its
+// replica. It is not safe for concurrent use.
 type Promoter struct {
 	self    topology.VM
 	opts    Options
 	rand    *rand.Rand
 	started mono.Time
-	groups  map[topology.GroupID]*standing
+	groups  map[topology.GroupID]*promoterGroup
 	changes uint64
 }
 
-// grant is a promise that may still stand.
+// grant is a promise that this VM gave at the time at and that may not have lapsed
+// yet.
 type grant struct {
 	holder  topology.VMID
 	version uint64
 	at      mono.Time
 }
 
-// standing is one group of the Promoter.
-type standing struct {
+// promoterGroup is the state of one group of the Promoter.
+type promoterGroup struct {
 	row     *topology.Group
 	replica topology.TargetID
 	grants  []grant
-	// withdrawn: no promise is given under this version and earlier ones.
+	// withdrawn is the newest version under which, as under earlier ones, this VM
+	// gives no more promises.
 	withdrawn uint64
 	attempt   *attempt
-	// settlement outlives attempts: what it gathered stays true.
-	settlement settlement
-	suspected  bool
-	since      mono.Time
-	health     Health
-	heard      mono.Time
-	promoted   []mono.Time
-	status     ReplicaStatus
-	joining    *proposal
-	// dropped counts how often this VM was taken off the list in this term.
-	dropped int
-	// joinAt is when this VM may list itself.
+	// settlement is kept across attempts, since its confirmations stay true.
+	settlement     settlement
+	suspected      bool
+	suspectedSince mono.Time
+	health         Health
+	heartbeatAt    mono.Time
+	promotions     []mono.Time
+	status         ReplicaStatus
+	joining        *proposal
+	// removals counts how often this VM was removed from the list in this term.
+	removals int
+	// joinAt is the earliest time at which this VM may list itself.
 	joinAt    mono.Time
 	notBefore mono.Time
 	positions map[topology.VMID]position.Position
 }
 
-// NewPromoter returns an empty table of a VM that started at started.
+// NewPromoter returns an empty table for a VM that started at started.
 func NewPromoter(self topology.VM, opts Options, rng *rand.Rand, started mono.Time) *Promoter {
-	return &Promoter{self: self, opts: opts, rand: rng, started: started, groups: map[topology.GroupID]*standing{}}
+	return &Promoter{self: self, opts: opts, rand: rng, started: started, groups: map[topology.GroupID]*promoterGroup{}}
 }
 
-// Stand makes this VM speak for a replica of the group. It takes part once the
-// group's list holds its present incarnation.
+// Stand sets the replica of the group for which this VM answers and which it may
+// promote. The VM takes part once the group's list contains its current incarnation.
 func (p *Promoter) Stand(group topology.GroupID, replica topology.TargetID) {
-	s := p.standing(group)
+	s := p.promoterGroup(group)
 	if s.replica != replica {
-		s.status = ReplicaStatus{} // It is another one's.
+		s.status = ReplicaStatus{} // The known status is that of the previous replica.
 	}
 	s.replica = replica
 }
 
-func (p *Promoter) standing(group topology.GroupID) *standing {
+func (p *Promoter) promoterGroup(group topology.GroupID) *promoterGroup {
 	s, ok := p.groups[group]
 	if !ok {
-		s = &standing{settlement: newSettlement(), positions: map[topology.VMID]position.Position{}}
+		s = &promoterGroup{settlement: newSettlement(), positions: map[topology.VMID]position.Position{}}
 		p.groups[group] = s
 	}
 	return s
@@ -87,28 +89,28 @@
 	return nil
 }
 
-// ObserveRow takes a row read from the platform or heard from a peer.
+// ObserveRow records a row that was read from the platform or received from a peer.
 func (p *Promoter) ObserveRow(read RowRead, now mono.Time) {
 	if read.Row == nil {
 		return
 	}
-	s := p.standing(read.Row.ID)
+	s := p.promoterGroup(read.Row.ID)
 	p.adopt(s, read.Row, now)
 	if s.attempt != nil && read.Began != 0 && !read.Began.Before(s.attempt.began) && s.row.Version == read.Row.Version {
 		s.attempt.rowFresh = true
 	}
 }
 
-// adopt replaces the row by a newer one; from here on no promise under the old
+// adopt replaces the row by a newer one. After this, no promise under an older
 // version is given.
-func (p *Promoter) adopt(s *standing, row *topology.Group, now mono.Time) {
+func (p *Promoter) adopt(s *promoterGroup, row *topology.Group, now mono.Time) {
 	if s.row != nil && row.Version <= s.row.Version {
 		return
 	}
-	p.countDropped(s, row)
+	p.countRemovals(s, row)
 	p.opts.checkSuccessor(s.row, row)
 	if s.row != nil && row.Term > s.row.Term {
-		s.promoted = append(s.promoted, now)
+		s.promotions = append(s.promotions, now)
 		s.suspected = false
 		s.settlement = newSettlement()
 	}
@@ -116,48 +118,49 @@
 	s.settlement.note(row, now)
 	p.delayJoin(s, now)
 	if s.attempt != nil {
-		s.attempt.over = true
+		s.attempt.superseded = true
 	}
-	if s.joining != nil && s.joining.settledBy(row) {
+	if s.joining != nil && s.joining.supersededBy(row) {
 		s.joining = nil
 	}
 }
 
-// ReplicaStatus is what a database says of itself.
+// ReplicaStatus is the status that a replica reports.
 type ReplicaStatus struct {
 	Reachable bool
-	// Term and Primary that the replica follows.
+	// Term and Primary are what the replica follows.
 	Term     uint64
 	Primary  topology.TargetID
 	Position position.Position
 }
 
-// ObserveReplica takes the status of the replica that this VM speaks for; that of another one
-// is passed over. Failure: a data centre is lost, and a VM elsewhere speaks for the replica
-// there while it pools the group's other one as well. Taken for the lost one's, the living
-// one's status kept the lost one synced, and each write waited four seconds for it.
+// ObserveReplica records the status of the replica that this VM answers for. The status
+// of any other replica is ignored. Failure: a data centre is lost, and a VM elsewhere
+// answers for the replica there while it also pools the group's other replica. The status
+// of the live replica was taken for that of the lost one, which therefore stayed synced,
+// and each write waited four seconds for it.
 func (p *Promoter) ObserveReplica(group topology.GroupID, replica topology.TargetID, st ReplicaStatus) {
-	if s := p.standing(group); s.replica == replica {
+	if s := p.promoterGroup(group); s.replica == replica {
 		s.status = st
 	}
 }
 
-// follows reports whether the replica follows the row's primary. Failure: an old
-// primary that came back holds positions of its own that are greater than the
-// new primary's, and would count as caught up.
-func (s *standing) follows() bool {
+// follows reports whether the replica follows the row's primary. Failure: a former
+// primary that came back has a position of its own that is greater than the new
+// primary's, and would count as caught up.
+func (s *promoterGroup) follows() bool {
 	return s.status.Reachable && s.row != nil && s.status.Term == s.row.Term && s.status.Primary == s.row.Primary
 }
 
-// Attempting reports whether this VM is promoting its replica. Without an attempt
-// a replica that is still fenced is to follow the row's primary again.
+// Attempting reports whether this VM is promoting its replica. If it is not, a
+// replica that is still fenced must follow the row's primary again.
 func (p *Promoter) Attempting(group topology.GroupID) bool {
 	s, ok := p.groups[group]
 	return ok && s.attempt != nil
 }
 
-// member finds the entry of this start of the VM.
-func (p *Promoter) member(list []topology.Promoter) (topology.Promoter, bool) {
+// ownEntry returns the entry of this incarnation of the VM.
+func (p *Promoter) ownEntry(list []topology.Promoter) (topology.Promoter, bool) {
 	if p.opts.faults.keepOldIncarnation {
 		for _, e := range list {
 			if e.VM == p.self.ID {
@@ -168,7 +171,7 @@
 	return entryOf(list, p.self.ID, p.self.Incarnation)
 }
 
-// HandleHeartbeat promises what it may.
+// HandleHeartbeat answers a heartbeat and grants the promises that may be given.
 func (p *Promoter) HandleHeartbeat(req HeartbeatRequest, now mono.Time) HeartbeatResponse {
 	resp := HeartbeatResponse{Sequence: req.Sequence, Incarnation: p.self.Incarnation}
 	for _, r := range req.Promises {
@@ -178,7 +181,7 @@
 }
 
 func (p *Promoter) promise(holder topology.VMID, r PromiseRequest, now mono.Time) Promise {
-	s := p.standing(r.Group)
+	s := p.promoterGroup(r.Group)
 	if r.Row != nil {
 		p.adopt(s, r.Row, now)
 	}
@@ -190,22 +193,23 @@
 		out.Row = s.row.Clone()
 		return out
 	}
-	_, registered := p.member(s.row.Promoters)
+	_, registered := p.ownEntry(s.row.Promoters)
 	if s.row.Version != r.Version || !registered {
 		return out
 	}
 	s.health = r.Health
-	s.heard = now
+	s.heartbeatAt = now
 	if s.withdrawn >= r.Version {
 		return out
 	}
 	out.Granted = true
-	s.remember(grant{holder: holder, version: r.Version, at: now}, p.opts.stretched(p.opts.Lease))
+	s.addGrant(grant{holder: holder, version: r.Version, at: now}, p.opts.stretched(p.opts.Lease))
 	return out
 }
 
-// remember keeps the latest grant by holder and version, and drops lapsed ones.
-func (s *standing) remember(g grant, lasts time.Duration) {
+// addGrant records the latest grant for its holder and version, and removes lapsed
+// grants.
+func (s *promoterGroup) addGrant(g grant, lasts time.Duration) {
 	s.grants = slices.DeleteFunc(s.grants, func(o grant) bool {
 		same := o.holder == g.holder && o.version == g.version
 		return same || g.at.Sub(o.at) > lasts
@@ -213,9 +217,9 @@
 	s.grants = append(s.grants, g)
 }
 
-// lapse returns when the last promise up to the version lapses; zero if none
-// stands.
-func (p *Promoter) lapse(s *standing, version uint64) mono.Time {
+// lapseTime returns when the last promise under the version or an earlier one
+// lapses, or zero if none was recorded.
+func (p *Promoter) lapseTime(s *promoterGroup, version uint64) mono.Time {
 	var end mono.Time
 	if p.opts.faults.skipLapse {
 		return end
@@ -228,9 +232,10 @@
 	return end
 }
 
-// HandleWithdraw confirms that no promise stands, or until when one does.
+// HandleWithdraw answers whether this VM gives no more promises under the version,
+// and when those that it gave will have lapsed.
 func (p *Promoter) HandleWithdraw(req WithdrawRequest, now mono.Time) WithdrawResponse {
-	s := p.standing(req.Group)
+	s := p.promoterGroup(req.Group)
 	if req.Row != nil {
 		p.adopt(s, req.Row, now)
 	}
@@ -239,25 +244,25 @@
 		return out
 	}
 	list := listOf(req.Row, req.Version)
-	end := p.lapse(s, req.Version)
-	_, own := p.member(list)
+	end := p.lapseTime(s, req.Version)
+	_, own := p.ownEntry(list)
 	if !own {
-		// An earlier start of this VM was in the list. It is gone, and whatever
-		// it promised was promised before this one started.
-		if !p.succeeds(list) {
+		// If the list names an earlier incarnation of this VM, that one has ended, and
+		// all of its promises were given before this one started.
+		if !p.isSuccessor(list) {
 			return out
 		}
 		end = max(end, p.started.Add(p.opts.stretched(p.opts.Lease)))
 	}
-	// A withdrawal for an attempt of its own may be taken back; a newer row not.
+	// A withdrawal for an attempt of this VM may be undone, so only a newer row counts.
 	out.Withdrawn = s.row.Version > req.Version
 	out.LapsesIn = max(0, end.Sub(now))
 	return out
 }
 
-// succeeds reports whether an earlier start of this VM is in the list. A VM runs
-// one daemon at a time: the address that it binds excludes a second one.
-func (p *Promoter) succeeds(list []topology.Promoter) bool {
+// isSuccessor reports whether an earlier incarnation of this VM is in the list. A VM
+// runs only one daemon at a time, since a second one could not bind its address.
+func (p *Promoter) isSuccessor(list []topology.Promoter) bool {
 	return slices.ContainsFunc(list, func(e topology.Promoter) bool {
 		return e.VM == p.self.ID && e.Incarnation < p.self.Incarnation
 	})
@@ -268,7 +273,7 @@
 	return fmt.Sprintf("promoter/%s/%d/%d", p.self.ID, p.self.Incarnation, p.changes)
 }
 
-// sortedKeys gives tables a fixed order, so that runs can be repeated.
+// sortedKeys returns the keys in a fixed order, so that runs are reproducible.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
 	for k := range m {
--- a/pkg/authority/promotion.go
+++ b/pkg/authority/promotion.go
@@ -8,59 +8,62 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// stage is how far an attempt to promote has come.
+// stage is the stage of a promotion attempt.
 type stage int
 
 const (
-	// exchanging: the row is read and the candidates' positions are asked.
+	// exchanging reads the row and requests the positions of the other candidates.
 	exchanging stage = iota
-	// waiting for this candidate's turn.
+	// waiting waits for this candidate's turn.
 	waiting
-	// withdrawn: no promise is given; those given lapse or are released.
+	// withdrawn gives no more promises, and waits until those given have lapsed or
+	// the holders have released their rights.
 	withdrawn
-	// proving: no right is left; positions are read of the replicas that hold
-	// what waited.
+	// proving, which starts once no right is left, reads the positions of the
+	// replicas that hold the writes that waited.
 	proving
-	// fencing: the replica is complete; it stops following.
+	// fencing stops the replication of the replica, which is complete.
 	fencing
-	// committing the row of the next term.
+	// committing commits the row of the next term.
 	committing
 )
 
-// attempt is one promotion on its way.
+// attempt is one attempt to promote this VM's replica.
 type attempt struct {
 	stage    stage
 	planned  bool
 	began    mono.Time
 	rowFresh bool
-	// over: a newer row is in place.
-	over  bool
-	asked mono.Time
-	turn  mono.Time
-	// before is what withdrawn was, for an attempt that is given up.
-	before       uint64
-	releaseAsked bool
-	fenceAsked   bool
-	end          position.Position
-	answered     map[topology.VMID]bool
-	proof        proof
-	proposal     *proposal
+	// superseded is set when a newer row is known.
+	superseded bool
+	asked      mono.Time
+	turnAt     mono.Time
+	// previousWithdrawn is the value of promoterGroup.withdrawn before the attempt,
+	// which is restored if the attempt is given up.
+	previousWithdrawn uint64
+	releaseAsked      bool
+	fenceAsked        bool
+	endPosition       position.Position
+	answered          map[topology.VMID]bool
+	proof             proof
+	proposal          *proposal
 }
 
-// Suspect tells whether the group's primary is to be replaced, as Judge decides.
+// Suspect sets whether the group's primary is suspected to be dead and so to be
+// replaced. Judge calls it with its decision.
 func (p *Promoter) Suspect(group topology.GroupID, dead bool, now mono.Time) {
-	s := p.standing(group)
+	s := p.promoterGroup(group)
 	if dead && !s.suspected {
-		s.since = now
+		s.suspectedSince = now
 		p.delayJoin(s, now)
 	}
 	s.suspected = dead
 }
 
-// Switchover starts a planned promotion: the holder said that its primary admits
-// no write and that this VM's replica holds all of them.
+// Switchover starts a planned promotion: the holder has reported that its primary
+// admits no more writes and that this VM's replica holds all of them.
 func (p *Promoter) Switchover(group topology.GroupID, now mono.Time) {
-	s := p.standing(group)
+	s := p.promoterGroup(group)
 	if s.attempt != nil || s.row == nil || !p.eligible(s) {
 		return
 	}
@@ -68,19 +71,19 @@
 	s.attempt.planned = true
 }
 
-func (p *Promoter) newAttempt(s *standing, now mono.Time) *attempt {
+func (p *Promoter) newAttempt(s *promoterGroup, now mono.Time) *attempt {
 	a := &attempt{began: now, answered: map[topology.VMID]bool{}}
 	a.proof.read = map[topology.TargetID]position.Position{}
-	a.before = s.withdrawn
+	a.previousWithdrawn = s.withdrawn
 	return a
 }
 
-func (p *Promoter) eligible(s *standing) bool {
-	e, ok := p.member(s.row.Promoters)
+func (p *Promoter) eligible(s *promoterGroup) bool {
+	e, ok := p.ownEntry(s.row.Promoters)
 	return ok && e.Replica == s.replica && p.mayPromote(s.row, e.Replica)
 }
 
-// Tick runs the systems and returns what is to be carried out.
+// Tick advances all groups to now and returns the actions to carry out.
 func (p *Promoter) Tick(now mono.Time) []Action {
 	var out []Action
 	for _, id := range sortedKeys(p.groups) {
@@ -92,25 +95,25 @@
 	return out
 }
 
-func (p *Promoter) step(s *standing, now mono.Time) []Action {
+func (p *Promoter) step(s *promoterGroup, now mono.Time) []Action {
 	if s.attempt == nil && (s.joining != nil || p.mayJoin(s, now)) {
 		return p.join(s, now)
 	}
 	if s.attempt == nil {
-		if !s.suspected || !p.eligible(s) || now.Before(s.notBefore) || now.Before(p.calmAt(s, now)) {
+		if !s.suspected || !p.eligible(s) || now.Before(s.notBefore) || now.Before(p.nextPromotionAt(s, now)) {
 			return nil
 		}
 		s.attempt = p.newAttempt(s, now)
 	}
 	a := s.attempt
-	if a.over || p.givenUp(s, now) {
-		return p.drop(s, now)
+	if a.superseded || p.shouldGiveUp(s, now) {
+		return p.giveUp(s, now)
 	}
 	switch a.stage {
 	case exchanging:
 		return p.exchange(s, now)
 	case waiting:
-		if now.Before(a.turn) {
+		if now.Before(a.turnAt) {
 			return nil
 		}
 		s.withdrawn = max(s.withdrawn, s.row.Version)
@@ -129,19 +132,20 @@
 	return nil
 }
 
-// calmAt spaces the promotions of one group. Failure: a link that flaps makes
-// one side after the other promote, and each costs the callers a gap. The first
-// is free; from the second within the window on the distance doubles.
-func (p *Promoter) calmAt(s *standing, now mono.Time) mono.Time {
+// nextPromotionAt returns the earliest time of the group's next promotion, or zero if
+// it need not wait. Failure: over a flapping link both sides promote in turn, and
+// each promotion interrupts the callers. After a single promotion within the window
+// there is no wait; from the second on the wait doubles each time.
+func (p *Promoter) nextPromotionAt(s *promoterGroup, now mono.Time) mono.Time {
 	n := 0
 	var last mono.Time
-	for _, at := range s.promoted {
+	for _, at := range s.promotions {
 		if now.Sub(at) <= p.opts.FlapWindow {
 			n++
 			last = at
 		}
 	}
-	s.promoted = s.promoted[len(s.promoted)-n:]
+	s.promotions = s.promotions[len(s.promotions)-n:]
 	if n < 2 {
 		return 0
 	}
@@ -152,32 +156,33 @@
 	return last.Add(wait)
 }
 
-// givenUp reports whether the attempt should end without a promotion. Not while
-// a commit may yet take effect: a promise given now would let the old primary
-// acknowledge beside the new one.
-func (p *Promoter) givenUp(s *standing, now mono.Time) bool {
+// shouldGiveUp reports whether the attempt should end without a promotion. It must
+// not while a commit may still take effect: a promise given after that would let the
+// old primary acknowledge writes next to the new one.
+func (p *Promoter) shouldGiveUp(s *promoterGroup, now mono.Time) bool {
 	a := s.attempt
-	if a.proposal != nil && a.proposal.open > 0 {
+	if a.proposal != nil && a.proposal.pending > 0 {
 		return false
 	}
 	if a.stage == exchanging && !a.rowFresh && now.Sub(a.began) > p.opts.GiveUpRead {
 		return true
 	}
 	if a.planned {
-		return now.Sub(a.began) > drainLimit
+		return now.Sub(a.began) > drainTimeout
 	}
 	return !s.suspected
 }
 
-// drop ends the attempt. A withdrawal that nobody was told of is taken back, so
-// that a suspicion during an outage of the platform costs no writes. After a
-// request to release, the version stays withdrawn: the holder has given it up.
-func (p *Promoter) drop(s *standing, now mono.Time) []Action {
+// giveUp ends the attempt. A withdrawal that was not sent to any other VM is undone,
+// so that a suspicion during an outage of the platform costs no writes. After a
+// request to release the right the version stays withdrawn, since the holder may
+// have given it up.
+func (p *Promoter) giveUp(s *promoterGroup, now mono.Time) []Action {
 	a := s.attempt
 	s.attempt = nil
 	s.notBefore = now.Add(p.opts.RetryEvery + p.jitter(p.opts.RetryEvery))
-	if !a.over && !a.releaseAsked {
-		s.withdrawn = a.before
+	if !a.superseded && !a.releaseAsked {
+		s.withdrawn = a.previousWithdrawn
 	}
 	if !a.fenceAsked || s.row.Primary == s.replica {
 		return nil
@@ -192,10 +197,10 @@
 	return time.Duration(p.rand.Int64N(int64(d)))
 }
 
-// ObserveRelease takes a holder's answer to a SendRelease. It counts only while
-// the version is withdrawn: before that, the holder could get a new promise.
+// ObserveRelease records a holder's answer to a SendRelease. It counts only while the
+// version is withdrawn; otherwise the holder could get a new promise.
 func (p *Promoter) ObserveRelease(from topology.VMID, r ReleaseRightResponse) {
-	s := p.standing(r.Group)
+	s := p.promoterGroup(r.Group)
 	if !r.Released || s.withdrawn < r.Version {
 		return
 	}
@@ -208,12 +213,12 @@
 	s.grants = kept
 }
 
-// withdraw waits until no right is left under the current list and under each
-// unsettled one.
-func (p *Promoter) withdraw(s *standing, now mono.Time) []Action {
+// withdraw waits until no right is left under the current list and under every
+// unsettled one. It requests releases and confirmations meanwhile.
+func (p *Promoter) withdraw(s *promoterGroup, now mono.Time) []Action {
 	a := s.attempt
-	current := !p.lapse(s, s.row.Version).After(now)
-	if current && p.unsettledDone(s, now) {
+	current := !p.lapseTime(s, s.row.Version).After(now)
+	if current && p.unsettledLapsed(s, now) {
 		return p.proveOrFence(s, now)
 	}
 	out := p.askUnsettled(s, now)
@@ -229,8 +234,8 @@
 	return out
 }
 
-// proveOrFence goes on once no right is left.
-func (p *Promoter) proveOrFence(s *standing, now mono.Time) []Action {
+// proveOrFence enters the next stage once no right is left.
+func (p *Promoter) proveOrFence(s *promoterGroup, now mono.Time) []Action {
 	s.attempt.asked = 0
 	if !p.complete(s.row, s.replica) {
 		s.attempt.stage = proving
@@ -240,21 +245,22 @@
 	return p.fence(s, now)
 }
 
-func (p *Promoter) askUnsettled(s *standing, now mono.Time) []Action {
+func (p *Promoter) askUnsettled(s *promoterGroup, now mono.Time) []Action {
 	if len(s.row.Unsettled) == 0 {
 		return nil
 	}
 	return s.settlement.ask(&p.opts, s.row, now)
 }
 
-// unsettledDone: this VM speaks for the lists that it was in, another member for
-// each of the others.
-func (p *Promoter) unsettledDone(s *standing, now mono.Time) bool {
+// unsettledLapsed reports whether no right is left under the unsettled lists. For
+// lists that contain this VM its own withdrawal suffices; each of the others needs
+// the confirmation of one of its members.
+func (p *Promoter) unsettledLapsed(s *promoterGroup, now mono.Time) bool {
 	if p.opts.faults.ignoreUnsettled {
 		return true
 	}
 	for _, l := range s.row.Unsettled {
-		if _, own := p.member(l.Promoters); own {
+		if _, own := p.ownEntry(l.Promoters); own {
 			continue
 		}
 		if _, ok := s.settlement.provenAt(&p.opts, l.Version, now); !ok {
@@ -264,10 +270,10 @@
 	return true
 }
 
-// fence stops the replica's replication. Failure: it goes on receiving from the
-// old primary after its position went into the history, and writes counted as
-// lost are there.
-func (p *Promoter) fence(s *standing, now mono.Time) []Action {
+// fence stops the replica's replication. Failure: the replica receives more writes
+// from the old primary after its position was recorded in the history, so writes that
+// are reported as lost exist.
+func (p *Promoter) fence(s *promoterGroup, now mono.Time) []Action {
 	a := s.attempt
 	if a.asked != 0 && now.Sub(a.asked) < p.opts.RetryEvery {
 		return nil
@@ -277,26 +283,27 @@
 	return []Action{FenceReplica{Group: s.row.ID, Target: s.replica, Term: s.row.Term + 1, Began: now}}
 }
 
-// ObserveFenced takes the position of the replica after the fence asked for.
-// Answers to an earlier attempt are dropped: the replica went on since.
+// ObserveFenced records the position of the replica after a FenceReplica. Answers to
+// an earlier attempt are ignored, since the replica may have resumed replication in
+// between.
 func (p *Promoter) ObserveFenced(f FenceReplica, at position.Position, now mono.Time) {
-	s := p.standing(f.Group)
+	s := p.promoterGroup(f.Group)
 	a := s.attempt
-	if a == nil || a.over || a.stage != fencing || f.Term != s.row.Term+1 || f.Began.Before(a.began) {
+	if a == nil || a.superseded || a.stage != fencing || f.Term != s.row.Term+1 || f.Began.Before(a.began) {
 		return
 	}
-	a.end = at
+	a.endPosition = at
 	a.stage = committing
 	next := Promote(s.row, s.replica, at, p.nextList(s), p.changeID())
-	p.opts.invariant(!p.lapse(s, s.row.Version).After(now), "group %s: promotion before the promises lapsed", f.Group)
+	p.opts.invariant(!p.lapseTime(s, s.row.Version).After(now), "group %s: promotion before the promises lapsed", f.Group)
 	complete := p.complete(s.row, s.replica) || a.proof.proves(s.row, s.replica, at)
 	p.opts.invariant(complete, "group %s: %s is promoted at %v and not complete", f.Group, s.replica, at)
-	a.proposal = &proposal{row: next, again: true}
+	a.proposal = &proposal{row: next, retrySoon: true}
 }
 
-// nextList are the entries that answered this attempt; without any, this VM
-// itself keeps the list non-empty.
-func (p *Promoter) nextList(s *standing) []topology.Promoter {
+// nextList returns the entries whose VMs answered in this attempt. If there are none,
+// it contains only this VM, so that the list is not empty.
+func (p *Promoter) nextList(s *promoterGroup) []topology.Promoter {
 	var list []topology.Promoter
 	for _, e := range p.others(s) {
 		if s.attempt.answered[e.VM] && e.Replica != s.replica {
@@ -310,17 +317,17 @@
 	return []topology.Promoter{{VM: p.self.ID, Incarnation: p.self.Incarnation, Replica: s.replica}}
 }
 
-func (p *Promoter) commit(s *standing, now mono.Time) []Action {
+func (p *Promoter) commit(s *promoterGroup, now mono.Time) []Action {
 	if !s.attempt.proposal.due(&p.opts, now) {
 		return nil
 	}
 	return []Action{CommitRow{Row: s.attempt.proposal.row.Clone()}}
 }
 
-// ObserveCommit takes the result of a CommitRow of this table; see
+// ObserveCommit records the result of a CommitRow of this table; see
 // Holder.ObserveCommit.
 func (p *Promoter) ObserveCommit(r CommitResult, now mono.Time) {
-	s := p.standing(r.Group)
+	s := p.promoterGroup(r.Group)
 	if s.attempt != nil && s.attempt.proposal != nil && s.attempt.proposal.observe(r) && r.Status == Committed {
 		p.adopt(s, s.attempt.proposal.row, now)
 	}
--- a/pkg/authority/proof.go
+++ b/pkg/authority/proof.go
@@ -10,24 +10,27 @@
 )
 
 const (
-	// proofLimit ends an attempt whose proof waits for a replica out of reach, so
-	// that the row and the other candidates are looked at again.
-	proofLimit = 2 * time.Second
-	// hopelessPause is how long a candidate that holds too little stays away.
-	hopelessPause = time.Second
+	// proofTimeout is how long an attempt waits for the positions of replicas that
+	// can't be reached. The next attempt reads the row and asks the other candidates
+	// again.
+	proofTimeout = 2 * time.Second
+	// disprovedPause is how long a candidate whose replica is not complete waits
+	// before its next attempt.
+	disprovedPause = time.Second
 )
 
-// ReadReplica reads the position of a database of the group by a connection
-// opened for it, never from a cached status; it goes to Promoter.ObservePosition.
+// ReadReplica reads the position of a database of the group over a new connection,
+// never from a cached status; the position goes to Promoter.ObservePosition.
 type ReadReplica struct {
 	Group  topology.GroupID
 	Target topology.TargetID
-	// Began goes back with the answer.
+	// Began is when the action was returned. It is passed back with the answer.
 	Began mono.Time
 }
 
-// PromotionBlocked tells that an attempt was given up because it needs the
-// position of one of Missing, and none could be read. It is tried again.
+// PromotionBlocked reports that an attempt was given up because it needs the position
+// of at least one replica in Missing, and none of them could be read. The promotion is
+// retried.
 type PromotionBlocked struct {
 	Group   topology.GroupID
 	Missing []topology.TargetID
@@ -36,24 +39,26 @@
 func (ReadReplica) action()      {}
 func (PromotionBlocked) action() {}
 
-// proof gathers the positions that show a candidate to be complete. A replica's
-// log is a prefix of its primary's, so a candidate that holds as much as a
-// replica holds everything which that replica holds.
+// proof collects the positions that show that a candidate is complete. A replica's
+// log is a prefix of its primary's, so a candidate whose position is not below that
+// of another replica holds everything that the other replica holds.
 type proof struct {
-	// ended is when no right was left under any list of the term.
+	// ended is a time at which no right was left under any list of the term. It is
+	// valid if began is set.
 	ended mono.Time
 	began bool
 	asked mono.Time
-	// read holds what each replica held at some instant after ended.
+	// read holds the position of each replica at some time after ended.
 	read map[topology.TargetID]position.Position
 }
 
-// provable reports whether positions may show that a replica is complete.
+// provable reports whether positions can show that a replica is complete.
 //
-// A list with a synced entry: each write that waited under it is held by all its
-// synced replicas. No such list in this term: classes that wait were refused, and
-// whoever holds an entry of the term holds all of the terms before. In a group's
-// first term nobody knows what the primary held before.
+// If a list has a synced entry, every write that waited under it is held by all of
+// its synced replicas. If no list of this term has one, classes that wait were
+// refused, and a replica that holds an entry of the term holds everything of the
+// earlier terms. In a group's first term it is not known what the primary held
+// before.
 func provable(row *topology.Group) bool {
 	return len(syncedLists(row)) > 0 || len(row.History) > 0
 }
@@ -69,40 +74,43 @@
 	return out
 }
 
-// needed returns the synced replicas of each list that the replica is not synced
-// in: a position of one of each must be at or below its own.
-func needed(row *topology.Group, replica topology.TargetID) [][]topology.TargetID {
+// requiredLists returns the synced replicas of each list in which the replica is not
+// synced. For each of these lists, the position of one of them must be at or below
+// the replica's own.
+func requiredLists(row *topology.Group, replica topology.TargetID) [][]topology.TargetID {
 	return slices.DeleteFunc(syncedLists(row), func(synced []topology.TargetID) bool {
 		return slices.Contains(synced, replica)
 	})
 }
 
-// proves reports whether a replica that holds own is complete by the positions
-// read. Both must be positions of the row's term. Failure: a replica that did not
-// follow this term, or has still to rewind, holds entries that its primary does
-// not, and its position says nothing. An entry of the term tells: only the term's
-// primary wrote one, after all that it holds.
+// proves reports whether the positions read show that a replica at position own is
+// complete. All positions must be in the row's term. Failure: a replica that did not
+// follow this term, or has yet to rewind, holds entries that its primary does not, so
+// its position can't be compared. An entry of the term shows that a replica followed
+// it: only the term's primary writes such entries, after everything that it holds.
 func (f *proof) proves(row *topology.Group, replica topology.TargetID, own position.Position) bool {
 	if own.Term != row.Term {
 		return false
 	}
-	for _, synced := range needed(row, replica) {
-		if !slices.ContainsFunc(synced, func(t topology.TargetID) bool { return f.below(t, row.Term, own) }) {
+	for _, synced := range requiredLists(row, replica) {
+		if !slices.ContainsFunc(synced, func(t topology.TargetID) bool { return f.readAtOrBelow(t, row.Term, own) }) {
 			return false
 		}
 	}
 	return true
 }
 
-// below reports whether the replica was read in the term at or below own.
-func (f *proof) below(t topology.TargetID, term uint64, own position.Position) bool {
+// readAtOrBelow reports whether the position read of the replica is in the term and
+// at or below own.
+func (f *proof) readAtOrBelow(t topology.TargetID, term uint64, own position.Position) bool {
 	at, ok := f.read[t]
 	return ok && at.Term == term && !own.Less(at)
 }
 
-// hopeless reports whether some list can't be proved though each of its synced
-// replicas was read: another candidate holds more.
-func (f *proof) hopeless(row *topology.Group, replica topology.TargetID) bool {
+// disproved reports whether the positions read show that the replica is not complete:
+// it has no entry of the row's term, or all synced replicas of some required list
+// were read and none is at or below it.
+func (f *proof) disproved(row *topology.Group, replica topology.TargetID) bool {
 	own, ok := f.read[replica]
 	if !ok {
 		return false
@@ -110,15 +118,15 @@
 	if own.Term != row.Term {
 		return true
 	}
-	return slices.ContainsFunc(needed(row, replica), func(synced []topology.TargetID) bool {
+	return slices.ContainsFunc(requiredLists(row, replica), func(synced []topology.TargetID) bool {
 		return !slices.ContainsFunc(synced, func(t topology.TargetID) bool {
 			_, read := f.read[t]
-			return !read || f.below(t, row.Term, own)
+			return !read || f.readAtOrBelow(t, row.Term, own)
 		})
 	})
 }
 
-// missing returns the replicas whose position is needed and was not read.
+// missing returns the replicas whose position is required and has not been read.
 func (f *proof) missing(row *topology.Group, replica topology.TargetID) []topology.TargetID {
 	var out []topology.TargetID
 	for _, t := range proofTargets(row, replica) {
@@ -129,10 +137,10 @@
 	return out
 }
 
-// proofTargets are the replica itself and those whose positions count.
+// proofTargets returns the replica itself and the replicas of its required lists.
 func proofTargets(row *topology.Group, replica topology.TargetID) []topology.TargetID {
 	out := []topology.TargetID{replica}
-	for _, synced := range needed(row, replica) {
+	for _, synced := range requiredLists(row, replica) {
 		for _, t := range synced {
 			if !slices.Contains(out, t) {
 				out = append(out, t)
@@ -147,14 +155,14 @@
 	return p.opts.faults.promoteUnsynced || Complete(row, replica)
 }
 
-// mayPromote reports whether the replica is complete or may turn out to be.
+// mayPromote reports whether the replica is complete or may be proved to be.
 func (p *Promoter) mayPromote(row *topology.Group, replica topology.TargetID) bool {
 	return replica != row.Primary && (p.complete(row, replica) || provable(row))
 }
 
-// prove reads the positions before anything is fenced: a candidate that holds too
-// little must not stop its own replication for nothing.
-func (p *Promoter) prove(s *standing, now mono.Time) []Action {
+// prove reads the positions before the replica is fenced, so that a candidate that is
+// not complete does not stop its own replication in vain.
+func (p *Promoter) prove(s *promoterGroup, now mono.Time) []Action {
 	a := s.attempt
 	if !a.proof.began {
 		a.proof.began = true
@@ -166,14 +174,14 @@
 		a.asked = 0
 		return p.fence(s, now)
 	}
-	if a.proof.hopeless(s.row, s.replica) {
-		out := p.drop(s, now)
-		s.notBefore = now.Add(hopelessPause + p.jitter(hopelessPause))
+	if a.proof.disproved(s.row, s.replica) {
+		out := p.giveUp(s, now)
+		s.notBefore = now.Add(disprovedPause + p.jitter(disprovedPause))
 		return out
 	}
-	if now.Sub(a.proof.ended) > proofLimit {
+	if now.Sub(a.proof.ended) > proofTimeout {
 		blocked := PromotionBlocked{Group: s.row.ID, Missing: a.proof.missing(s.row, s.replica)}
-		return append(p.drop(s, now), blocked)
+		return append(p.giveUp(s, now), blocked)
 	}
 	if a.proof.asked != 0 && now.Sub(a.proof.asked) < p.opts.RetryEvery {
 		return nil
@@ -186,15 +194,15 @@
 	return out
 }
 
-// ObservePosition takes what a ReadReplica brought.
+// ObservePosition records the position that a ReadReplica returned.
 //
-// Failure: a position read while some right still stood; the primary then
-// acknowledged one more write that waited for this replica, and the candidate
-// below it would pass. So only reads begun after the end of the rights count.
+// Only reads that began after the rights ended count. Failure: a position is read
+// while some right is still valid; the primary then acknowledges one more write that
+// waited for this replica, and a candidate without that write would pass as complete.
 func (p *Promoter) ObservePosition(r ReadReplica, at position.Position) {
-	s := p.standing(r.Group)
+	s := p.promoterGroup(r.Group)
 	a := s.attempt
-	if a == nil || a.over || !a.proof.began || r.Began.Before(a.proof.ended) {
+	if a == nil || a.superseded || !a.proof.began || r.Began.Before(a.proof.ended) {
 		return
 	}
 	a.proof.note(r.Target, at, p.opts.faults.stalePosition)
@@ -207,9 +215,9 @@
 	f.read[t] = at
 }
 
-// noteStale is the planted mistake that takes positions exchanged before the
-// withdrawal for a proof.
-func (p *Promoter) noteStale(s *standing, from topology.VMID, at position.Position) {
+// noteStalePosition implements the planted mistake stalePosition: it uses a position
+// that was exchanged before the withdrawal as a proof.
+func (p *Promoter) noteStalePosition(s *promoterGroup, from topology.VMID, at position.Position) {
 	for _, e := range s.row.Promoters {
 		if e.VM == from {
 			s.attempt.proof.note(e.Replica, at, false)
--- a/pkg/authority/proof_test.go
+++ b/pkg/authority/proof_test.go
@@ -12,7 +12,7 @@
 // proofSeeds is how many seeds each scripted case runs with.
 const proofSeeds = 10
 
-// lists of two promoters with the given synced entries.
+// twoPromoters returns a list of two promoters with the given Synced flags.
 func twoPromoters(first, second bool) []topology.Promoter {
 	return []topology.Promoter{
 		{VM: vmName(1), Incarnation: 1, Replica: targetName(1), Synced: first},
@@ -20,8 +20,8 @@
 	}
 }
 
-// crossLists puts a row in place that has two unsettled lists, each with another
-// synced replica, as changes of the list at a start leave it.
+// crossLists stores a row that has two unsettled lists with different synced replicas,
+// as list changes at startup can leave it.
 func (w *world) crossLists() {
 	row := w.last.Clone()
 	row.Version = 11
@@ -36,8 +36,8 @@
 	w.last = row
 }
 
-// killPrimary stops the present primary's database for good and has all others
-// suspect it.
+// killPrimary stops the current primary's database, and makes the VMs of all other
+// databases suspect it.
 func (w *world) killPrimary() {
 	w.dbs[indexOf(string(w.last.Primary))].up = false
 	for _, v := range w.vms[:dcCount] {
@@ -45,20 +45,21 @@
 	}
 }
 
-// promotes runs the world until the next term begins, or for the time given.
+// promotes runs the world until the next term begins, or for the given time, and
+// reports whether the next term began.
 func (w *world) promotes(within time.Duration) bool {
 	term := w.last.Term
-	for start := w.now; w.now-start < within && w.broken == "" && w.last.Term == term; {
+	for start := w.now; w.now-start < within && w.violation == "" && w.last.Term == term; {
 		w.run(step)
 	}
 	return w.last.Term > term
 }
 
 var _ = Describe("completeness by positions", func() {
-	// Callers' writes are refused after the primary died within seconds of two
-	// changes of the list: no replica is synced in both unsettled lists, and they
-	// can't be settled without a position of the dead primary. The replica that
-	// holds as much as the other one is promoted.
+	// The primary dies within seconds of two list changes, and callers' writes are
+	// refused: no replica is synced in both unsettled lists, and these can't be settled
+	// without a position of the dead primary. A replica that holds at least as much as
+	// the other one is promoted.
 	It("promotes when the primary dies before crossed lists are settled", func() {
 		for seed := range uint64(proofSeeds) {
 			w := newWorld(seed, modelOptions())
@@ -67,13 +68,13 @@
 			w.killPrimary()
 			Expect(w.promotes(5*time.Second)).To(BeTrue(), "seed %d: %+v", seed, w.last)
 			w.script(func(*world) {})
-			Expect(w.broken).To(BeEmpty())
+			Expect(w.violation).To(BeEmpty())
 		}
 	})
 
-	// The new primary dies with its VM before any replica is synced. Classes that
-	// wait were refused by it, and the third replica holds its first entry, so
-	// everything of the terms before: it is promoted.
+	// A new primary dies together with its VM before any replica is synced. Classes that
+	// wait were refused in its term, and the third replica holds the first entry of that
+	// term and so everything of earlier terms. It is promoted.
 	It("promotes when a new primary dies before any replica is synced", func() {
 		for seed := range uint64(proofSeeds) {
 			w := newWorld(seed, modelOptions())
@@ -81,37 +82,37 @@
 			w.killPrimary()
 			Expect(w.promotes(5 * time.Second)).To(BeTrue())
 			third := w.dbs[3-indexOf(string(w.last.Primary))]
-			for third.position().Term < w.last.Term && w.broken == "" {
+			for third.position().Term < w.last.Term && w.violation == "" {
 				w.run(step)
 			}
 			Expect(Synced(w.last.Promoters)).To(BeEmpty())
 			dead := w.vms[indexOf(string(w.last.Primary))]
-			dead.until = w.now + time.Hour
+			dead.pausedUntil = w.now + time.Hour
 			w.killPrimary()
 			Expect(w.promotes(10*time.Second)).To(BeTrue(), "seed %d: %+v", seed, w.last)
-			dead.until = w.now
+			dead.pausedUntil = w.now
 			w.script(func(*world) {})
-			Expect(w.broken).To(BeEmpty())
+			Expect(w.violation).To(BeEmpty())
 		}
 	})
 
-	// Of the two synced replicas one lags, and the other one is out of reach: what
-	// it holds is unknown, so the one that lags must not be promoted. Callers
-	// wait, and go on once the other one is back.
-	It("waits for a synced replica that is out of reach", func() {
+	// One of two synced replicas lags and the other can't be reached, so its position is
+	// unknown and the lagging one must not be promoted. Callers wait until the other one
+	// is back.
+	It("waits for a synced replica that can't be reached", func() {
 		w := newWorld(1, modelOptions())
 		w.dbs[2].lagging = true
 		w.run(time.Second)
 		w.crossLists()
 		w.dbs[1].up = false
-		w.vms[0].until = w.now + time.Hour
+		w.vms[0].pausedUntil = w.now + time.Hour
 		w.killPrimary()
 		Expect(w.promotes(5 * time.Second)).To(BeFalse())
 		Expect(w.blocked).To(BeNumerically(">", 0))
 		w.dbs[1].up = true
 		Expect(w.promotes(5 * time.Second)).To(BeTrue())
-		w.vms[0].until = w.now
+		w.vms[0].pausedUntil = w.now
 		w.script(func(*world) {})
-		Expect(w.broken).To(BeEmpty())
+		Expect(w.violation).To(BeEmpty())
 	})
 })
--- a/pkg/authority/proposal.go
+++ b/pkg/authority/proposal.go
@@ -5,42 +5,43 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// unansweredFactor stretches the retry of a commit that has no answer at all.
+// unansweredFactor is the factor on RetryEvery for a commit without any answer.
 const unansweredFactor = 5
 
-// proposal is one change of a row on its way to the table.
+// proposal is a change of a row that is being committed.
 type proposal struct {
 	row *topology.Group
-	// first and sent are when the first and the latest try went out.
-	first mono.Time
-	sent  mono.Time
-	// open counts the tries that may still take effect.
-	open  int
-	again bool
+	// firstSent and lastSent are when the first and the latest commit were sent.
+	firstSent mono.Time
+	lastSent  mono.Time
+	// pending counts the commits that may still take effect.
+	pending   int
+	retrySoon bool
 }
 
-// due reports whether to send the commit, again or for the first time. Failure:
-// the answer was lost, a read shows the old row, and the commit still under way
-// takes effect later. Only the same compare-and-set tried again tells: it
-// commits, or conflicts with its own ChangeID, or with another's for good.
+// due reports whether the commit is to be sent now, for the first time or again, and
+// records that it was. Failure: the answer was lost, a read shows the old row, and the
+// commit takes effect later. Only repeating the same compare-and-set gives a reliable
+// answer: it commits, or it conflicts with its own ChangeID or finally with another.
 func (p *proposal) due(opts *Options, now mono.Time) bool {
 	wait := opts.RetryEvery
-	if !p.again {
+	if !p.retrySoon {
 		wait *= unansweredFactor
 	}
-	if p.sent != 0 && now.Sub(p.sent) < wait {
+	if p.lastSent != 0 && now.Sub(p.lastSent) < wait {
 		return false
 	}
-	if p.first == 0 {
-		p.first = now
+	if p.firstSent == 0 {
+		p.firstSent = now
 	}
-	p.open++
-	p.again = false
-	p.sent = now
+	p.pending++
+	p.retrySoon = false
+	p.lastSent = now
 	return true
 }
 
-// observe returns whether the proposal is over: it took effect or never will.
+// observe records a result of the commit and reports whether the proposal is done: it
+// took effect or never will.
 func (p *proposal) observe(r CommitResult) bool {
 	if r.ChangeID != p.row.ChangeID {
 		return false
@@ -49,22 +50,23 @@
 	case Committed, Conflict:
 		return true
 	case Unavailable:
-		p.open--
-		p.again = true
+		p.pending--
+		p.retrySoon = true
 	case Unknown:
-		p.again = true
+		p.retrySoon = true
 	}
 	return false
 }
 
-// settledBy reports whether a row in place ends the proposal.
-func (p *proposal) settledBy(row *topology.Group) bool {
+// supersededBy reports whether a known row ends the proposal.
+func (p *proposal) supersededBy(row *topology.Group) bool {
 	return row.Version >= p.row.Version
 }
 
-// settlement gathers proofs that no right is left under unsettled lists.
+// settlement collects the confirmations that no right is left under unsettled lists.
 type settlement struct {
-	// lapsed holds, by version, when a member's promises under it had lapsed.
+	// lapsed holds, by version, when the promises of one member under it have lapsed,
+	// which may be in the future.
 	lapsed map[uint64]mono.Time
 	// seen holds, by version, when this VM first saw the list as unsettled.
 	seen  map[uint64]mono.Time
@@ -84,8 +86,8 @@
 	}
 }
 
-// observe takes a member's confirmation. LapsesIn is counted from its receipt,
-// which is later than the answer.
+// observe records a member's confirmation. LapsesIn is counted from its receipt, which
+// is later than the answer.
 func (s *settlement) observe(opts *Options, r WithdrawResponse, now mono.Time) {
 	if !r.Withdrawn {
 		return
@@ -96,17 +98,17 @@
 	}
 }
 
-// provenAt returns since when no right is left under the version. A confirmation
-// for a later version speaks for earlier lists only if its member was in them,
-// so each list needs its own.
+// provenAt returns the time since which no right is left under the version, and
+// whether that has been reached. A confirmation for a later version covers an earlier
+// list only if its member was in that list, so each list needs its own.
 func (s *settlement) provenAt(opts *Options, version uint64, now mono.Time) (mono.Time, bool) {
 	at, ok := s.lapsed[version]
 	if ok && !at.After(now) {
 		return at, true
 	}
-	// No member will ever answer: a holder stops MaxOutage after the begin of
-	// its last read that showed the version as current, which was before the
-	// newer row, so before this VM saw it.
+	// Without an answer of any member, MaxOutage ends the right: a holder stops
+	// MaxOutage after the start of its last read that showed the version as current.
+	// That read came before the newer row, and so before this VM saw the newer row.
 	seen, ok := s.seen[version]
 	if !ok {
 		return 0, false
@@ -115,7 +117,8 @@
 	return end, !end.After(now)
 }
 
-// ask returns the requests for the lists that no member has answered for.
+// ask returns the requests to all members of the lists for which no member has
+// confirmed its withdrawal.
 func (s *settlement) ask(opts *Options, row *topology.Group, now mono.Time) []Action {
 	if s.asked != 0 && now.Sub(s.asked) < opts.RetryEvery {
 		return nil
--- a/pkg/authority/row.go
+++ b/pkg/authority/row.go
@@ -7,12 +7,12 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// sameDaemon reports whether two entries are one start of one VM.
+// sameDaemon reports whether two entries name the same incarnation of the same VM.
 func sameDaemon(a, b topology.Promoter) bool {
 	return a.VM == b.VM && a.Incarnation == b.Incarnation
 }
 
-// entryOf finds the entry of one start of a VM.
+// entryOf returns the entry of one incarnation of a VM.
 func entryOf(list []topology.Promoter, vm topology.VMID, inc topology.Incarnation) (topology.Promoter, bool) {
 	for _, p := range list {
 		if p.VM == vm && p.Incarnation == inc {
@@ -22,7 +22,7 @@
 	return topology.Promoter{}, false
 }
 
-// Synced returns the replicas that waiting acknowledgements wait for.
+// Synced returns the replicas that writes of classes that wait must wait for.
 func Synced(list []topology.Promoter) []topology.TargetID {
 	var out []topology.TargetID
 	for _, p := range list {
@@ -33,7 +33,8 @@
 	return out
 }
 
-// listOf returns the list of a version that the row still knows.
+// listOf returns the current or unsettled list of a version, or nil if the row does
+// not contain it.
 func listOf(row *topology.Group, version uint64) []topology.Promoter {
 	if row.Version == version {
 		return row.Promoters
@@ -51,10 +52,10 @@
 // there is such a list. Under a list without one, classes that wait are refused,
 // so the replicas synced before stay complete.
 //
-// Failure: a second pooler still relies on an older version, whose list did not
-// have this replica synced, and acknowledges a write it lacks. So the unsettled
-// lists count too; they stay until no right under them is left and the replica
-// has caught up with what came before that.
+// The unsettled lists count too. Failure: a second pooler still has a right under an
+// older version, in whose list this replica is not synced, and acknowledges a write
+// that the replica lacks. Unsettled lists are kept until no right under them is left
+// and the replica has caught up with the writes before that.
 func Complete(row *topology.Group, replica topology.TargetID) bool {
 	if replica == row.Primary {
 		return false
@@ -82,9 +83,9 @@
 	return out
 }
 
-// covered reports whether any member of list can speak for old too, and old says
-// nothing about completeness that list does not: each member of list was in old,
-// no replica becomes synced that was not, and some stay so if any were.
+// covered reports whether list makes it unnecessary to keep old as an unsettled list:
+// each member of list was in old, so its confirmation covers old too; no replica is
+// synced in list that was not in old; and list has a synced entry if old had one.
 func covered(list, old []topology.Promoter) bool {
 	for _, p := range list {
 		if !slices.ContainsFunc(old, func(q topology.Promoter) bool { return sameDaemon(p, q) }) {
@@ -108,9 +109,9 @@
 // firstVersion is the version of a group's first row.
 const firstVersion = 1
 
-// FirstRow returns the row of a group that has none yet: nobody is synced, so
-// nobody promotes until the holder has found a replica caught up. The caller
-// commits it on the condition that there is no row.
+// FirstRow returns the row for a group that has none yet. No entry is synced, so no
+// replica is promoted until the holder has found one that has caught up. The caller
+// commits the row on the condition that none exists.
 func FirstRow(group topology.GroupID, term uint64, primary topology.TargetID, list []topology.Promoter, changeID string) *topology.Group {
 	list = slices.Clone(list)
 	for i := range list {
@@ -119,10 +120,10 @@
 	return &topology.Group{ID: group, Version: firstVersion, Term: term, Primary: primary, Promoters: list, ChangeID: changeID}
 }
 
-// ChangeList returns the row with another list, or nil when the list is empty or
-// too many lists are unsettled. The old list becomes unsettled unless every
-// member of the new one was in it: a confirmation speaks for the earlier
-// versions too, so the new list's members cover the old one.
+// ChangeList returns the row with another list, or nil if the list is empty or too
+// many lists are unsettled. The old list becomes unsettled unless the new one covers
+// it: a member's confirmation also applies to earlier versions, so members that were
+// in the old list can confirm for it.
 func ChangeList(row *topology.Group, list []topology.Promoter, changeID string) *topology.Group {
 	if len(list) == 0 {
 		return nil
@@ -152,8 +153,8 @@
 	return next
 }
 
-// Promote returns the row of the next term, with the promoted replica's position
-// as the end of the present one.
+// Promote returns the row of the next term. It records end, the position of the
+// promoted replica, as the end of the current term.
 func Promote(row *topology.Group, to topology.TargetID, end position.Position, list []topology.Promoter, changeID string) *topology.Group {
 	next := row.Clone()
 	next.Version++
@@ -166,16 +167,17 @@
 	return next
 }
 
-// Surplus is what a target holds that the group's history does not.
+// Surplus is the range of positions that a target holds but the group's history does
+// not contain.
 type Surplus struct {
-	// From is the last position that the target shares with the history.
+	// From is the last position that is in both the target and the history.
 	From position.Position
-	// To is the target's own newest position.
+	// To is the target's newest position.
 	To position.Position
 }
 
-// SurplusOf tells which positions of a returning target are lost writes: those
-// after the end of the term that it stopped in. False: it holds none.
+// SurplusOf returns which positions of a returning target are lost writes: those after
+// the end of the term in which it stopped. It returns false if there are none.
 func SurplusOf(row *topology.Group, target position.Position) (Surplus, bool) {
 	for _, h := range row.History {
 		if h.Term != target.Term {
--- a/pkg/authority/rules_test.go
+++ b/pkg/authority/rules_test.go
@@ -31,11 +31,11 @@
 		p.HandleHeartbeat(HeartbeatRequest{VM: "vm0", Promises: []PromiseRequest{{Group: testGroup, Version: 3, Health: health}}}, now)
 	}
 
-	// A data centre is lost. This VM speaks for the replica there, which is dead, and pools the
-	// group's living one as well. The holder must hear that the dead one can't be reached: it
-	// would keep it synced by the other's word, and each of a caller's writes would wait four
-	// seconds for it.
-	It("speaks for its own replica only", func() {
+	// A data centre is lost. This VM answers for the replica there, which is dead, and also
+	// pools the group's live replica. It must report the dead one as unreachable: if it
+	// reported the status of the live one, the holder would keep the dead one synced, and
+	// each of a caller's writes would wait four seconds for it.
+	It("reports the status of its own replica only", func() {
 		p := newPromoter()
 		promise := func() Promise {
 			req := HeartbeatRequest{VM: "vm0", Promises: []PromiseRequest{{Group: testGroup, Version: 3, Health: Healthy}}}
@@ -51,16 +51,16 @@
 		Expect(promise().ReplicaReachable).To(BeFalse())
 	})
 
-	// The holder speaks and calls its primary well; this VM reaches it not. That
-	// is a path, and callers elsewhere are served.
-	It("suspects no primary that its holder calls well", func() {
+	// The holder reports its primary as healthy, but this VM can't reach the primary. The
+	// failure is on the path, and callers elsewhere are served.
+	It("suspects no primary that its holder reports as healthy", func() {
 		p := newPromoter()
 		beat(p, Healthy, 2*second)
 		Expect(p.Judge(testGroup, Dead, 2*second+1)).To(BeFalse())
 	})
 
-	// The holder is silent and the target answers here: the pooler's VM died,
-	// and the next pooler takes over without a promotion.
+	// The holder is silent but the target answers this VM: the pooler's VM died, and
+	// another pooler takes over without a promotion.
 	It("suspects no primary that answers while its holder is silent", func() {
 		p := newPromoter()
 		beat(p, Healthy, 2*second)
@@ -68,23 +68,23 @@
 		Expect(p.Judge(testGroup, Dead, 4*second)).To(BeTrue())
 	})
 
-	// A link flaps: each promotion costs callers a gap. The third within the
-	// window waits, and the next ones longer.
-	It("spaces the promotions of a flapping group", func() {
+	// Over a flapping link, each promotion interrupts the callers. The third promotion
+	// within the window is delayed, and later ones are delayed longer.
+	It("delays the promotions of a flapping group", func() {
 		p := newPromoter()
-		s := p.standing(testGroup)
-		s.promoted = []mono.Time{10 * second}
-		Expect(p.calmAt(s, 11*second)).To(BeZero())
-		s.promoted = []mono.Time{10 * second, 12 * second}
-		Expect(p.calmAt(s, 13*second)).To(Equal(14 * second))
-		s.promoted = []mono.Time{10 * second, 12 * second, 15 * second}
-		Expect(p.calmAt(s, 16*second)).To(Equal(19 * second))
-		Expect(p.calmAt(s, 100*second)).To(BeZero())
+		s := p.promoterGroup(testGroup)
+		s.promotions = []mono.Time{10 * second}
+		Expect(p.nextPromotionAt(s, 11*second)).To(BeZero())
+		s.promotions = []mono.Time{10 * second, 12 * second}
+		Expect(p.nextPromotionAt(s, 13*second)).To(Equal(14 * second))
+		s.promotions = []mono.Time{10 * second, 12 * second, 15 * second}
+		Expect(p.nextPromotionAt(s, 16*second)).To(Equal(19 * second))
+		Expect(p.nextPromotionAt(s, 100*second)).To(BeZero())
 	})
 
-	// The suspicion is wrong and the platform down: callers notice nothing, as
-	// nothing is withdrawn before the row was read.
-	It("goes on promising when the row can't be read", func() {
+	// The suspicion is wrong and the platform is down. Callers are not affected, since no
+	// promise is withdrawn before the row has been read.
+	It("keeps promising when the row can't be read", func() {
 		p := newPromoter()
 		p.Suspect(testGroup, true, 2*second)
 		for now := 2 * second; now < 8*second; now = now.Add(step) {
@@ -103,8 +103,8 @@
 })
 
 var _ = Describe("Holder", func() {
-	// The VM releases its right while it does not pool the group, and pools it
-	// again before a promise given earlier arrives: that promise must not count.
+	// The VM releases its right while it does not pool the group, and pools it again
+	// before a promise that was given earlier arrives. That promise must not count.
 	It("remembers a release when it serves the group again", func() {
 		h := NewHolder(topology.VM{ID: "vm0", Incarnation: 1}, DefaultOptions())
 		g := &topology.Group{ID: testGroup, Version: 1, Term: 1, Primary: "db0", Promoters: []topology.Promoter{{VM: "vm1", Incarnation: 1, Replica: "db1"}}}
@@ -132,8 +132,8 @@
 		Expect(err).NotTo(BeNil())
 	})
 
-	// The platform is down for MaxOutage. Callers' writes stop then and not
-	// before: from there on others may take the old list for ended.
+	// The platform is down for MaxOutage. Callers' writes stop at that time and not
+	// before: after it other VMs may assume that the rights under the old list ended.
 	It("stops when its row was not confirmed for MaxOutage", func() {
 		opts := DefaultOptions()
 		h := NewHolder(topology.VM{ID: "vm0", Incarnation: 1}, opts)
@@ -141,7 +141,7 @@
 		h.Serve(testGroup, "db0")
 		h.ObserveRow(RowRead{Row: g, Began: second}, second)
 		promised := func(now mono.Time) *result.Error {
-			h.beaten = false
+			h.heartbeatSent = false
 			for _, a := range h.Tick(now) {
 				if b, ok := a.(SendHeartbeat); ok {
 					resp := HeartbeatResponse{Sequence: b.Request.Sequence, Incarnation: 1, Promises: []Promise{{Group: testGroup, Version: 1, Granted: true}}}
--- a/pkg/authority/world_database_test.go
+++ b/pkg/authority/world_database_test.go
@@ -15,24 +15,25 @@
 	return position.Position{Term: e.term, Index: uint64(index + 1)}
 }
 
-// database keeps the contract of docs/design/0001.
+// database simulates a database that follows the contract of docs/design/0001.
 type database struct {
 	id topology.TargetID
 	dc int
 	up bool
-	// frozen: while not up, it is silent instead of refusing.
+	// frozen makes a database that is not up leave new connections unanswered instead
+	// of refusing them.
 	frozen bool
-	// lagging replicas copy little.
+	// lagging makes a replica copy entries rarely.
 	lagging bool
 	log     []entry
 	term    uint64
 	fenced  uint64
 	primary topology.TargetID
-	// rewind: the log may hold entries that the primary does not.
+	// rewind is set while the log may hold entries that the primary does not.
 	rewind bool
 }
 
-func (d *database) leads() bool { return d.primary == d.id }
+func (d *database) isPrimary() bool { return d.primary == d.id }
 
 func (d *database) position() position.Position {
 	if len(d.log) == 0 {
@@ -48,9 +49,9 @@
 	}
 }
 
-// write appends when the term fits.
+// write appends the entry if the database is the primary of the entry's term.
 func (d *database) write(e entry) (int, bool) {
-	if !d.up || !d.leads() || d.term != e.term || d.fenced > d.term {
+	if !d.up || !d.isPrimary() || d.term != e.term || d.fenced > d.term {
 		return 0, false
 	}
 	d.log = append(d.log, e)
@@ -58,7 +59,7 @@
 }
 
 func (d *database) fence(term uint64) bool {
-	if !d.up || term <= d.term || d.leads() {
+	if !d.up || term <= d.term || d.isPrimary() {
 		return false
 	}
 	d.fenced = max(d.fenced, term)
@@ -66,14 +67,14 @@
 }
 
 func (d *database) promote(w *world, term uint64) bool {
-	if !d.up || term < d.term || (term == d.term && !d.leads()) {
+	if !d.up || term < d.term || (term == d.term && !d.isPrimary()) {
 		return false
 	}
 	if term > d.term {
 		d.term = term
 		d.primary = d.id
 		d.rewind = false
-		// The first entry of the term tells its log from others' (contract).
+		// The first entry of the term distinguishes this log from others (contract).
 		d.log = append(d.log, entry{term: term})
 		w.checkWrites(d)
 	}
@@ -81,7 +82,7 @@
 }
 
 func (d *database) follow(term uint64, primary topology.TargetID) {
-	if !d.up || term < d.term || primary == d.id || (term == d.term && d.leads()) {
+	if !d.up || term < d.term || primary == d.id || (term == d.term && d.isPrimary()) {
 		return
 	}
 	d.rewind = d.rewind || d.term != term
@@ -90,11 +91,11 @@
 	d.fenced = 0
 }
 
-// replicate copies some entries to each replica that follows.
+// replicate copies some entries to each replica that follows a primary.
 func (w *world) replicate() {
 	for _, d := range w.dbs {
 		p := w.dbs[indexOf(string(d.primary))]
-		if d == p || !d.up || !p.up || w.cut[d.dc][p.dc] || d.term != p.term || !p.leads() || d.fenced > d.term {
+		if d == p || !d.up || !p.up || w.cut[d.dc][p.dc] || d.term != p.term || !p.isPrimary() || d.fenced > d.term {
 			continue
 		}
 		if d.rewind {
--- a/pkg/authority/world_test.go
+++ b/pkg/authority/world_test.go
@@ -13,9 +13,9 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// The world runs several VMs on one event queue with an adversarial network:
-// messages are lost, delayed, reordered and doubled, VMs pause and restart, their
-// clocks run at different rates, the platform's answers are lost.
+// The world simulates several VMs on one event queue with an unreliable network:
+// messages are lost, delayed, reordered and duplicated, VMs pause and restart, their
+// clocks run at different rates, and answers of the platform are lost.
 
 const (
 	testGroup = topology.GroupID("ledger/1")
@@ -56,29 +56,30 @@
 }
 
 type world struct {
-	opts    Options
-	rng     *rand.Rand
-	now     time.Duration
-	events  queue
-	seq     int
-	vms     []*vm
-	dbs     []*database
-	table   *platform.Memory
-	cut     [dcCount][dcCount]bool
-	platCut [dcCount]bool
-	down    bool
-	// lossy and unsure are shares in percent of messages and answers of the
+	opts         Options
+	rng          *rand.Rand
+	now          time.Duration
+	events       queue
+	seq          int
+	vms          []*vm
+	dbs          []*database
+	table        *platform.Memory
+	cut          [dcCount][dcCount]bool
+	platformCut  [dcCount]bool
+	platformDown bool
+	// messageLoss and answerLoss are the percentages of messages and of answers of the
 	// platform that are lost.
-	lossy, unsure int
-	// honest worlds judge by their detectors; in others the schedule says whom
-	// each VM suspects.
-	honest bool
-	slow   bool
-	acks   []ack
-	last   *topology.Group
-	broken string
-	writes int
-	// blocked counts the attempts given up for a replica out of reach.
+	messageLoss, answerLoss int
+	// useDetectors makes the VMs use their detectors. Without it the schedule sets which
+	// VMs suspect the primary.
+	useDetectors bool
+	slow         bool
+	acks         []ack
+	last         *topology.Group
+	violation    string
+	writes       int
+	// blocked counts the attempts that were given up because a replica could not be
+	// reached.
 	blocked int
 }
 
@@ -108,10 +109,10 @@
 func targetName(i int) topology.TargetID { return topology.TargetID(fmt.Sprintf("db%d", i)) }
 func indexOf(id string) int              { return int(id[len(id)-1] - '0') }
 
-// fail keeps the first violation; the property reports it.
+// fail records the first violation, which the property reports.
 func (w *world) fail(format string, args ...any) {
-	if w.broken == "" {
-		w.broken = fmt.Sprintf("at %v: ", w.now) + fmt.Sprintf(format, args...)
+	if w.violation == "" {
+		w.violation = fmt.Sprintf("at %v: ", w.now) + fmt.Sprintf(format, args...)
 	}
 }
 
@@ -120,21 +121,22 @@
 	heap.Push(&w.events, event{at: w.now + d, seq: w.seq, fire: fire})
 }
 
-// delay is mostly short; now and then a message lies in a buffer for long.
+// delay returns the delay of a message, which is mostly short. With message loss, some
+// messages are delayed for seconds.
 func (w *world) delay() time.Duration {
 	d := time.Millisecond + time.Duration(w.rng.Int64N(int64(3*time.Millisecond)))
-	if w.lossy > 0 && w.rng.IntN(100) < w.lossy {
+	if w.messageLoss > 0 && w.rng.IntN(100) < w.messageLoss {
 		d += time.Duration(w.rng.Int64N(int64(2500 * time.Millisecond)))
 	}
 	return d
 }
 
-func (w *world) lost() bool { return w.rng.IntN(100) < w.lossy }
+func (w *world) lost() bool { return w.rng.IntN(100) < w.messageLoss }
 
 // run advances the world and stops at the first violation.
 func (w *world) run(d time.Duration) {
 	end := w.now + d
-	for w.now < end && w.broken == "" {
+	for w.now < end && w.violation == "" {
 		next := w.now + step
 		for len(w.events) > 0 && w.events[0].at <= next {
 			e := heap.Pop(&w.events).(event)
@@ -151,12 +153,12 @@
 	}
 }
 
-// call sends a request to a VM and its answer back. Handlers of a paused VM run
-// when it wakes; requests reach whatever start of the VM runs by then.
+// call sends a request to a VM and its answer back. Handlers of a paused VM run when it
+// resumes; a request reaches the incarnation that runs by then.
 func (w *world) call(from *vm, to topology.VMID, handle func(*vm) func()) {
 	dst := w.vms[indexOf(string(to))]
 	copies := 1
-	if w.lossy > 0 && w.rng.IntN(20) == 0 {
+	if w.messageLoss > 0 && w.rng.IntN(20) == 0 {
 		copies = 2
 	}
 	for range copies {
@@ -174,9 +176,9 @@
 	w.after(w.delay(), func() { from.deliver(observe) })
 }
 
-func (w *world) platformReached(v *vm) bool { return !w.down && !w.platCut[v.dc] }
+func (w *world) platformReached(v *vm) bool { return !w.platformDown && !w.platformCut[v.dc] }
 
-// read returns the row and the table's revision.
+// read returns the stored row and its revision.
 func (w *world) read() (*topology.Group, uint64) {
 	rows, _, _ := w.table.Scan(context.Background(), tableKey, 0)
 	var row topology.Group
@@ -198,7 +200,7 @@
 	return out.Committed
 }
 
-// commit is the platform's side of CommitRow.
+// commit carries out a CommitRow on the platform.
 func (w *world) commit(row *topology.Group) CommitResult {
 	out := CommitResult{Group: row.ID, ChangeID: row.ChangeID, Status: Conflict}
 	current, revision := w.read()
@@ -218,8 +220,8 @@
 	return out
 }
 
-// acknowledge records an acknowledgement. The replaced primary's time ends with
-// the commit of the next term, which comes before that term's first own one.
+// acknowledge records an acknowledgement. None may come from a replaced primary after
+// the commit of the next term, which precedes that term's first acknowledgement.
 func (w *world) acknowledge(a ack) {
 	w.acks = append(w.acks, a)
 	if a.term < w.last.Term {
@@ -227,8 +229,8 @@
 	}
 }
 
-// checkWrites asserts that no waited write vanished from the primary's log, and
-// that the row reports each other one that did.
+// checkWrites checks that no acknowledged write that waited for a replica is missing in
+// the primary's log, and that the row's history reports every other one that is.
 func (w *world) checkWrites(d *database) {
 	for _, a := range w.acks {
 		if a.index < len(d.log) && d.log[a.index] == a.entry {
@@ -245,13 +247,13 @@
 	}
 }
 
-// heal mends everything.
+// heal ends all faults of the network, the platform and the databases.
 func (w *world) heal() {
 	w.cut = [dcCount][dcCount]bool{}
-	w.platCut = [dcCount]bool{}
-	w.down = false
-	w.lossy = 0
-	w.unsure = 0
+	w.platformCut = [dcCount]bool{}
+	w.platformDown = false
+	w.messageLoss = 0
+	w.answerLoss = 0
 	w.slow = false
 	for _, d := range w.dbs {
 		d.up = true
--- a/pkg/authority/world_vm_test.go
+++ b/pkg/authority/world_vm_test.go
@@ -8,32 +8,32 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// clockError bounds the clocks' rates, in per mille; the model's margin is more
-// than twice that.
+// clockError is the maximum error of a clock's rate, in per mille. The model's margin
+// is more than twice that.
 const clockError = 40
 
-// vm is one VM: the three tables and the thin layer around them.
+// vm is one VM: the three tables and the code that drives them.
 type vm struct {
-	w        *world
-	index    int
-	dc       int
-	rate     int64
-	offset   time.Duration
-	epoch    int
-	listed   topology.Incarnation
-	until    time.Duration
-	suspects bool
-	ticks    int
-	holder   *Holder
-	promoter *Promoter
-	detector *Detector
+	w           *world
+	index       int
+	dc          int
+	rate        int64
+	offset      time.Duration
+	epoch       int
+	listed      topology.Incarnation
+	pausedUntil time.Duration
+	suspects    bool
+	ticks       int
+	holder      *Holder
+	promoter    *Promoter
+	detector    *Detector
 }
 
 func (v *vm) now() mono.Time      { return v.w.time(v) }
-func (v *vm) paused() bool        { return v.until > v.w.now }
+func (v *vm) paused() bool        { return v.pausedUntil > v.w.now }
 func (v *vm) database() *database { return v.w.dbs[v.dc] }
 
-// start gives the VM a new incarnation and no memory.
+// start starts the VM with a new incarnation and empty tables.
 func (v *vm) start() {
 	v.epoch++
 	self := topology.VM{ID: vmName(v.index), Incarnation: topology.Incarnation(v.epoch)}
@@ -51,17 +51,18 @@
 	v.w.after(300*time.Millisecond, func() { v.listed = max(v.listed, inc) })
 }
 
-// deliver runs f now, or when the VM wakes.
+// deliver runs f now, or when the VM resumes.
 func (v *vm) deliver(f func()) {
 	if v.paused() {
-		v.w.after(v.until-v.w.now+time.Microsecond, func() { v.deliver(f) })
+		v.w.after(v.pausedUntil-v.w.now+time.Microsecond, func() { v.deliver(f) })
 		return
 	}
 	f()
 }
 
-// own runs f unless the VM has restarted: answers on a connection of the process.
-func (v *vm) own(f func()) func() {
+// ifNotRestarted returns a function that delivers f unless the VM has restarted since.
+// It is used for answers that arrive on a connection of the process.
+func (v *vm) ifNotRestarted(f func()) func() {
 	epoch := v.epoch
 	return func() {
 		v.deliver(func() {
@@ -82,7 +83,7 @@
 		v.readRow()
 		v.holder.Candidates(testGroup, v.candidates())
 	}
-	if v.w.honest {
+	if v.w.useDetectors {
 		v.judge(now)
 	} else {
 		v.promoter.Suspect(testGroup, v.suspects, now)
@@ -109,7 +110,8 @@
 	return out
 }
 
-// fetchStatus asks the VM's own database and keeps it following the row.
+// fetchStatus reads the status of the VM's own database and makes the database follow
+// the row.
 func (v *vm) fetchStatus() {
 	began := v.now()
 	d := v.database()
@@ -118,7 +120,7 @@
 		if !d.up {
 			st = ReplicaStatus{}
 		}
-		v.w.after(v.w.delay(), v.own(func() { v.observeStatus(d, st, began) }))
+		v.w.after(v.w.delay(), v.ifNotRestarted(func() { v.observeStatus(d, st, began) }))
 	})
 }
 
@@ -130,7 +132,7 @@
 	if row == nil || !d.up {
 		return
 	}
-	if st.Reachable && d.leads() && st.Term == row.Term {
+	if st.Reachable && d.isPrimary() && st.Term == row.Term {
 		v.holder.ObservePrimary(testGroup, st.Position, began)
 	}
 	stale := d.term < row.Term || (d.fenced > d.term && !v.promoter.Attempting(testGroup))
@@ -149,7 +151,7 @@
 		if v.w.lost() {
 			return
 		}
-		v.w.after(v.w.delay(), v.own(func() { v.observeRow(row, began) }))
+		v.w.after(v.w.delay(), v.ifNotRestarted(func() { v.observeRow(row, began) }))
 	})
 }
 
@@ -175,19 +177,19 @@
 		return
 	}
 	v.w.after(v.w.delay(), func() {
-		unsure := v.w.rng.IntN(100) < v.w.unsure
+		answerLoss := v.w.rng.IntN(100) < v.w.answerLoss
 		late := v.w.delay()
-		if unsure && v.w.rng.IntN(2) == 0 {
-			// The answer goes out as lost, and the commit takes effect later.
+		if answerLoss && v.w.rng.IntN(2) == 0 {
+			// The answer is lost, and the commit takes effect later.
 			v.w.after(late*10, func() { v.w.commit(row) })
 		} else {
 			r := v.w.commit(row)
-			if !unsure {
-				v.w.after(late, v.own(func() { observe(r) }))
+			if !answerLoss {
+				v.w.after(late, v.ifNotRestarted(func() { observe(r) }))
 				return
 			}
 		}
-		v.w.after(late, v.own(func() { observe(CommitResult{Group: row.ID, ChangeID: row.ChangeID, Status: Unknown}) }))
+		v.w.after(late, v.ifNotRestarted(func() { observe(CommitResult{Group: row.ID, ChangeID: row.ChangeID, Status: Unknown}) }))
 	})
 }
 
@@ -227,7 +229,7 @@
 	case FenceReplica:
 		if d := v.database(); d.fence(a.Term) {
 			at := d.position()
-			w.after(w.delay(), v.own(func() { v.promoter.ObserveFenced(a, at, v.now()) }))
+			w.after(w.delay(), v.ifNotRestarted(func() { v.promoter.ObserveFenced(a, at, v.now()) }))
 		}
 	case FollowPrimary:
 		if row := v.promoter.Row(a.Group); row != nil {
@@ -239,12 +241,13 @@
 		w.blocked++
 	case PromoteReplica:
 		if v.database().promote(w, a.Term) {
-			w.after(w.delay(), v.own(func() { v.holder.ObservePromoted(a.Group, a.Term) }))
+			w.after(w.delay(), v.ifNotRestarted(func() { v.holder.ObservePromoted(a.Group, a.Term) }))
 		}
 	}
 }
 
-// readReplica asks a database by a connection of its own, past its VM.
+// readReplica reads the position of a database over a direct connection, without its
+// VM.
 func (v *vm) readReplica(a ReadReplica) {
 	w := v.w
 	d := w.dbs[indexOf(string(a.Target))]
@@ -256,12 +259,12 @@
 			return
 		}
 		at := d.position()
-		w.after(w.delay(), v.own(func() { v.promoter.ObservePosition(a, at) }))
+		w.after(w.delay(), v.ifNotRestarted(func() { v.promoter.ObservePosition(a, at) }))
 	})
 }
 
-// write runs one write through the two checks; the completion of a paused VM is
-// looked at when it wakes.
+// write performs one write with both checks. If the VM is paused, the completion is
+// handled when it resumes.
 func (v *vm) write(wait bool) {
 	row := v.holder.Row(testGroup)
 	if row == nil {
@@ -297,14 +300,14 @@
 			}
 		}
 	}
-	v.w.after(v.w.delay(), v.own(func() {
+	v.w.after(v.w.delay(), v.ifNotRestarted(func() {
 		if v.holder.Confirm(right, wait, v.now()) == nil {
 			v.w.acknowledge(ack{at: v.w.now, vm: vmName(v.index), term: right.Term, entry: e, index: index, waited: wait})
 		}
 	}))
 }
 
-// judge runs the detector against the databases.
+// judge runs the detector against the databases and passes on its results.
 func (v *vm) judge(now mono.Time) {
 	w := v.w
 	for _, a := range v.detector.Tick(now) {
@@ -312,7 +315,7 @@
 		case Probe:
 			d := w.dbs[indexOf(string(a.Target))]
 			outcome, wait := d.probed(w.cut[v.dc][d.dc], a.Timeout)
-			w.after(wait, v.own(func() { v.detector.ObserveProbe(a.Target, outcome, now, v.now()) }))
+			w.after(wait, v.ifNotRestarted(func() { v.detector.ObserveProbe(a.Target, outcome, now, v.now()) }))
 		case AskWitness:
 			d := w.dbs[indexOf(string(a.Target))]
 			w.call(v, vmName((v.dc+1)%dcCount), func(dst *vm) func() {
@@ -328,8 +331,8 @@
 	}
 }
 
-// probed is what a new connection meets: a killed process refuses, a frozen one
-// or a cut path is silent.
+// probed returns the outcome of a new connection and the time that it takes. A killed
+// process refuses; a frozen one or a cut path leaves it unanswered.
 func (d *database) probed(cut bool, timeout time.Duration) (ProbeOutcome, time.Duration) {
 	switch {
 	case cut || (!d.up && d.frozen):
