--- a/examples/embed/main.go
+++ b/examples/embed/main.go
@@ -104,7 +104,7 @@
 	holder := authority.NewHolder(vmA, options)
 	promoter := authority.NewPromoter(vmB, options, rand.New(rand.NewPCG(1, 1)), now)
 	holder.Serve(row.ID, row.Primary)
-	promoter.Stand(row.ID, "db-b")
+	promoter.SetReplica(row.ID, "db-b")
 	holder.ObserveRow(authority.RowRead{Row: row, Began: now}, now)
 	promoter.ObserveRow(authority.RowRead{Row: row, Began: now}, now)
 	holder.ObservePromoted(row.ID, row.Term)
--- a/internal/failover/assign.go
+++ b/internal/failover/assign.go
@@ -91,7 +91,7 @@
 	d.promoter.ObserveRow(read, now)
 	d.watch(row.Primary, now)
 	if t := d.standsFor(part, row); t != "" {
-		d.promoter.Stand(part.Group, t)
+		d.promoter.SetReplica(part.Group, t)
 	}
 	if slices.Contains(part.Targets, row.Primary) {
 		d.held[part.Group] = row.Primary
--- a/pkg/authority/detector.go
+++ b/pkg/authority/detector.go
@@ -23,9 +23,9 @@
 	// FrozenAfter is how long new connections must go unanswered before the
 	// target counts as dead; at least two probes have timed out by then.
 	FrozenAfter = 600 * time.Millisecond
-	// HolderSilent is how long after its last heartbeat a holder counts as silent.
+	// HolderSilenceLimit is how long after its last heartbeat a holder counts as silent.
 	// Two heartbeats may be lost before that.
-	HolderSilent = 800 * time.Millisecond
+	HolderSilenceLimit = 800 * time.Millisecond
 	// SlowFactor is the multiple of the usual latency above which a target is slow.
 	SlowFactor = 5
 	// witnessInterval is the minimum interval between requests to a witness. Its
@@ -261,7 +261,7 @@
 // pooler replaces it without a promotion.
 func (p *Promoter) Judge(group topology.GroupID, direct Health, now mono.Time) bool {
 	s := p.promoterGroup(group)
-	speaks := s.heartbeatAt != 0 && now.Sub(s.heartbeatAt) < HolderSilent
+	speaks := s.heartbeatAt != 0 && now.Sub(s.heartbeatAt) < HolderSilenceLimit
 	dead := direct == Dead
 	if speaks {
 		dead = s.health == Dead && (direct == Dead || direct == Doubtful)
--- a/pkg/authority/promoter.go
+++ b/pkg/authority/promoter.go
@@ -62,9 +62,9 @@
 	return &Promoter{self: self, opts: opts, rand: rng, started: started, groups: map[topology.GroupID]*promoterGroup{}}
 }
 
-// Stand sets the replica of the group for which this VM answers and which it may
+// SetReplica sets the replica of the group for which this VM answers and which it may
 // promote. The VM takes part once the group's list contains its current incarnation.
-func (p *Promoter) Stand(group topology.GroupID, replica topology.TargetID) {
+func (p *Promoter) SetReplica(group topology.GroupID, replica topology.TargetID) {
 	s := p.promoterGroup(group)
 	if s.replica != replica {
 		s.status = ReplicaStatus{} // The known status is that of the previous replica.
--- a/pkg/authority/rules_test.go
+++ b/pkg/authority/rules_test.go
@@ -23,7 +23,7 @@
 		opts := DefaultOptions()
 		opts.CheckInvariants = true
 		p := NewPromoter(topology.VM{ID: "vm1", Incarnation: 1}, opts, rand.New(rand.NewPCG(1, 1)), second)
-		p.Stand(testGroup, "db1")
+		p.SetReplica(testGroup, "db1")
 		p.ObserveRow(RowRead{Row: row()}, second)
 		return p
 	}
@@ -47,7 +47,7 @@
 		Expect(promise().ReplicaReachable).To(BeFalse())
 		p.ObserveReplica(testGroup, "db1", living)
 		Expect(promise().ReplicaReachable).To(BeTrue())
-		p.Stand(testGroup, "db2")
+		p.SetReplica(testGroup, "db2")
 		Expect(promise().ReplicaReachable).To(BeFalse())
 	})
 
--- a/pkg/authority/world_vm_test.go
+++ b/pkg/authority/world_vm_test.go
@@ -45,7 +45,7 @@
 	}
 	if v.index < dcCount {
 		v.holder.Serve(testGroup, v.database().id)
-		v.promoter.Stand(testGroup, v.database().id)
+		v.promoter.SetReplica(testGroup, v.database().id)
 	}
 	inc := topology.Incarnation(v.epoch)
 	v.w.after(300*time.Millisecond, func() { v.listed = max(v.listed, inc) })
