--- a/pkg/authority/holder.go
+++ b/pkg/authority/holder.go
@@ -62,7 +62,8 @@
 // holderGroup is the state of one group of the Holder.
 type holderGroup struct {
 	target topology.TargetID
-	now    basis
+	// now is the current version of the row.
+	now basis
 	// learnedAt is when this VM learned of the current row.
 	learnedAt mono.Time
 	// older holds the earlier versions of the term whose promises may still be
@@ -74,13 +75,13 @@
 	lastGranted map[topology.VMID]mono.Time
 	// excluded is, by VM, until when a VM that was removed from the list for its
 	// silence is not added again.
-	excluded   map[topology.VMID]mono.Time
-	health     Health
-	urgent     bool
-	drain      *drain
-	proposal   *proposal
-	settlement settlement
-	candidates []topology.Promoter
+	excluded     map[topology.VMID]mono.Time
+	health       Health
+	heartbeatDue bool
+	drain        *drain
+	proposal     *proposal
+	settlement   settlement
+	candidates   []topology.Promoter
 	// lastCandidates are the candidates at the last tick, which have been the same
 	// since candidatesSince.
 	lastCandidates  []topology.Promoter
@@ -203,7 +204,7 @@
 	if g.proposal != nil && g.proposal.supersededBy(row) {
 		g.proposal = nil
 	}
-	g.urgent = true
+	g.heartbeatDue = true
 }
 
 // rightEnd returns when the right under one version ends, and whether it is valid
--- a/pkg/authority/holder_tick.go
+++ b/pkg/authority/holder_tick.go
@@ -36,8 +36,8 @@
 	// candidatesStableFor is how long the candidates must stay the same before a
 	// list change that is not urgent is proposed.
 	candidatesStableFor = 500 * time.Millisecond
-	// fastHeartbeatInterval is the heartbeat interval of a group without a synced entry, for
-	// fastHeartbeatPeriod after each new row.
+	// fastHeartbeatInterval is the heartbeat interval of a group without a synced
+	// entry, for fastHeartbeatPeriod after each new row.
 	fastHeartbeatInterval = 50 * time.Millisecond
 	fastHeartbeatPeriod   = 3 * time.Second
 )
@@ -103,7 +103,7 @@
 		return
 	}
 	g.health = health
-	g.urgent = true
+	g.heartbeatDue = true
 }
 
 // Drain starts a switchover to the target, during which Right admits no writes. It
@@ -219,10 +219,10 @@
 		if row == nil || row.Primary != g.target {
 			continue
 		}
-		if due := all || g.urgent || (fast && g.needsFastHeartbeats(now)); !due {
+		if due := all || g.heartbeatDue || (fast && g.needsFastHeartbeats(now)); !due {
 			continue
 		}
-		g.urgent = false
+		g.heartbeatDue = false
 		for _, p := range row.Promoters {
 			req := PromiseRequest{Group: id, Version: row.Version, Health: g.health}
 			if _, ok := g.promises[promiseKey{p.VM, p.Incarnation, row.Version}]; !ok {
--- a/pkg/authority/mistakes_test.go
+++ b/pkg/authority/mistakes_test.go
@@ -62,8 +62,8 @@
 	w.platformCut[1] = true
 	w.run(100*time.Millisecond + time.Duration(w.rng.Int64N(int64(100*time.Millisecond))))
 	w.cut[0][1] = true
-	before := w.last.Version
-	for tries := 100; tries > 0 && w.last.Version == before; tries-- {
+	before := w.lastRow.Version
+	for tries := 100; tries > 0 && w.lastRow.Version == before; tries-- {
 		w.run(step)
 	}
 	w.run(3 * step)
--- a/pkg/authority/model_test.go
+++ b/pkg/authority/model_test.go
@@ -93,7 +93,7 @@
 		}
 	}
 	if w.violation == "" {
-		w.fail("no waited write within %v of the end of all faults; row %+v", healedWithin, w.last)
+		w.fail("no waited write within %v of the end of all faults; row %+v", healedWithin, w.lastRow)
 	}
 }
 
--- a/pkg/authority/proof_test.go
+++ b/pkg/authority/proof_test.go
@@ -23,7 +23,7 @@
 // crossLists stores a row that has two unsettled lists with different synced replicas,
 // as list changes at startup can leave it.
 func (w *world) crossLists() {
-	row := w.last.Clone()
+	row := w.lastRow.Clone()
 	row.Version = 11
 	row.ChangeID = "crossed"
 	row.Promoters = twoPromoters(true, true)
@@ -33,26 +33,26 @@
 	}
 	_, revision := w.read()
 	w.put(row, revision)
-	w.last = row
+	w.lastRow = row
 }
 
 // killPrimary stops the current primary's database, and makes the VMs of all other
 // databases suspect it.
 func (w *world) killPrimary() {
-	w.dbs[indexOf(string(w.last.Primary))].up = false
+	w.dbs[indexOf(string(w.lastRow.Primary))].up = false
 	for _, v := range w.vms[:dcCount] {
-		v.suspects = v.database().id != w.last.Primary
+		v.suspects = v.database().id != w.lastRow.Primary
 	}
 }
 
 // promotes runs the world until the next term begins, or for the given time, and
 // reports whether the next term began.
 func (w *world) promotes(within time.Duration) bool {
-	term := w.last.Term
-	for start := w.now; w.now-start < within && w.violation == "" && w.last.Term == term; {
+	term := w.lastRow.Term
+	for start := w.now; w.now-start < within && w.violation == "" && w.lastRow.Term == term; {
 		w.run(step)
 	}
-	return w.last.Term > term
+	return w.lastRow.Term > term
 }
 
 var _ = Describe("completeness by positions", func() {
@@ -66,7 +66,7 @@
 			w.run(time.Second)
 			w.crossLists()
 			w.killPrimary()
-			Expect(w.promotes(5*time.Second)).To(BeTrue(), "seed %d: %+v", seed, w.last)
+			Expect(w.promotes(5*time.Second)).To(BeTrue(), "seed %d: %+v", seed, w.lastRow)
 			w.script(func(*world) {})
 			Expect(w.violation).To(BeEmpty())
 		}
@@ -81,15 +81,15 @@
 			w.run(time.Second)
 			w.killPrimary()
 			Expect(w.promotes(5 * time.Second)).To(BeTrue())
-			third := w.dbs[3-indexOf(string(w.last.Primary))]
-			for third.position().Term < w.last.Term && w.violation == "" {
+			third := w.dbs[3-indexOf(string(w.lastRow.Primary))]
+			for third.position().Term < w.lastRow.Term && w.violation == "" {
 				w.run(step)
 			}
-			Expect(Synced(w.last.Promoters)).To(BeEmpty())
-			dead := w.vms[indexOf(string(w.last.Primary))]
+			Expect(Synced(w.lastRow.Promoters)).To(BeEmpty())
+			dead := w.vms[indexOf(string(w.lastRow.Primary))]
 			dead.pausedUntil = w.now + time.Hour
 			w.killPrimary()
-			Expect(w.promotes(10*time.Second)).To(BeTrue(), "seed %d: %+v", seed, w.last)
+			Expect(w.promotes(10*time.Second)).To(BeTrue(), "seed %d: %+v", seed, w.lastRow)
 			dead.pausedUntil = w.now
 			w.script(func(*world) {})
 			Expect(w.violation).To(BeEmpty())
--- a/pkg/authority/world_test.go
+++ b/pkg/authority/world_test.go
@@ -75,7 +75,7 @@
 	useDetectors bool
 	slow         bool
 	acks         []ack
-	last         *topology.Group
+	lastRow      *topology.Group
 	violation    string
 	writes       int
 	// blocked counts the attempts that were given up because a replica could not be
@@ -94,9 +94,9 @@
 		}
 	}
 	w.put(row, 0)
-	w.last = row
+	w.lastRow = row
 	for i := range vmCount {
-		v := &vm{w: w, index: i, dc: i % dcCount, listed: 1}
+		v := &vm{w: w, index: i, dc: i % dcCount, knownIncarnation: 1}
 		v.rate = int64(w.rng.IntN(3)-1) * clockError
 		v.offset = time.Duration(w.rng.Int64N(int64(time.Hour)))
 		w.vms = append(w.vms, v)
@@ -212,10 +212,10 @@
 		out.Row = current
 		return out
 	}
-	if row.Term < w.last.Term || row.Version <= w.last.Version || len(row.Promoters) == 0 {
-		w.fail("row %+v after %+v", row, w.last)
+	if row.Term < w.lastRow.Term || row.Version <= w.lastRow.Version || len(row.Promoters) == 0 {
+		w.fail("row %+v after %+v", row, w.lastRow)
 	}
-	w.last = row.Clone()
+	w.lastRow = row.Clone()
 	out.Status = Committed
 	return out
 }
@@ -224,8 +224,8 @@
 // the commit of the next term, which precedes that term's first acknowledgement.
 func (w *world) acknowledge(a ack) {
 	w.acks = append(w.acks, a)
-	if a.term < w.last.Term {
-		w.fail("%s acknowledged in term %d, and term %d had begun", a.vm, a.term, w.last.Term)
+	if a.term < w.lastRow.Term {
+		w.fail("%s acknowledged in term %d, and term %d had begun", a.vm, a.term, w.lastRow.Term)
 	}
 }
 
@@ -240,14 +240,15 @@
 			w.fail("waited write %v of %s at %d vanished in term %d", a.entry, a.vm, a.index, d.term)
 			return
 		}
-		if !w.last.Lost(a.entry.position(a.index)) {
-			w.fail("lost write %v at %d is not reported: %+v", a.entry, a.index, w.last.History)
+		if !w.lastRow.Lost(a.entry.position(a.index)) {
+			w.fail("lost write %v at %d is not reported: %+v", a.entry, a.index, w.lastRow.History)
 			return
 		}
 	}
 }
 
-// heal ends all faults of the network, the platform and the databases.
+// heal ends all faults of the network, the platform and the databases, and all
+// suspicions. It does not resume paused VMs.
 func (w *world) heal() {
 	w.cut = [dcCount][dcCount]bool{}
 	w.platformCut = [dcCount]bool{}
--- a/pkg/authority/world_vm_test.go
+++ b/pkg/authority/world_vm_test.go
@@ -14,19 +14,19 @@
 
 // vm is one VM: the three tables and the code that drives them.
 type vm struct {
-	w           *world
-	index       int
-	dc          int
-	rate        int64
-	offset      time.Duration
-	epoch       int
-	listed      topology.Incarnation
-	pausedUntil time.Duration
-	suspects    bool
-	ticks       int
-	holder      *Holder
-	promoter    *Promoter
-	detector    *Detector
+	w                *world
+	index            int
+	dc               int
+	rate             int64
+	offset           time.Duration
+	epoch            int
+	knownIncarnation topology.Incarnation
+	pausedUntil      time.Duration
+	suspects         bool
+	ticks            int
+	holder           *Holder
+	promoter         *Promoter
+	detector         *Detector
 }
 
 func (v *vm) now() mono.Time      { return v.w.time(v) }
@@ -48,7 +48,7 @@
 		v.promoter.SetReplica(testGroup, v.database().id)
 	}
 	inc := topology.Incarnation(v.epoch)
-	v.w.after(300*time.Millisecond, func() { v.listed = max(v.listed, inc) })
+	v.w.after(300*time.Millisecond, func() { v.knownIncarnation = max(v.knownIncarnation, inc) })
 }
 
 // deliver runs f now, or when the VM resumes.
@@ -104,7 +104,7 @@
 	row := v.holder.Row(testGroup)
 	for _, o := range v.w.vms[:dcCount] {
 		if row != nil && o.database().id != row.Primary {
-			out = append(out, topology.Promoter{VM: vmName(o.index), Incarnation: o.listed, Replica: o.database().id})
+			out = append(out, topology.Promoter{VM: vmName(o.index), Incarnation: o.knownIncarnation, Replica: o.database().id})
 		}
 	}
 	return out
