--- a/pkg/membership/leaving.go
+++ b/pkg/membership/leaving.go
@@ -6,35 +6,36 @@
 	"github.com/buckthornshore/buckthornshore/pkg/mono"
 )
 
-// MinNotice is the least time between the announcement and the exit. Until it
-// has passed, peers may not have heard that the VM leaves and still send it
-// requests; a VM that exits on the first idle instant would cut them.
+// MinNotice is the minimum time between the announcement and the exit. Before
+// that, peers that have not yet received the announcement still send requests,
+// and an exit at the first idle moment would cut them off.
 const MinNotice = 2 * time.Second
 
-// Action is something that a leaving VM does now. Each is idempotent and is
-// asked for at every tick until it has shown its effect, so that a lost message
-// is made good.
+// Action is a step that a leaving VM takes now. Each action is idempotent and is
+// returned by every tick until its effect shows in the Load, so that a lost
+// message is repeated.
 type Action int
 
 // The actions of a planned stop.
 const (
-	// Announce: tell the platform's list and the peers that this VM leaves.
+	// Announce tells the platform's list and the peers that this VM leaves.
 	Announce Action = iota + 1
-	// RefuseNewSessions with result code Leaving.
+	// RefuseNewSessions refuses new sessions with result code Leaving.
 	RefuseNewSessions
-	// AskIdleToReconnect: end sessions that have no transaction open; their
-	// callers connect again and the balancer sends them elsewhere.
+	// AskIdleToReconnect ends sessions that have no open transaction; their
+	// callers reconnect and the load balancer sends them to other VMs.
 	AskIdleToReconnect
-	// HandOverPoolers: the next VM in rank takes the targets' connections.
+	// HandOverPoolers hands the targets' connections over to the VM that is next
+	// in rank.
 	HandOverPoolers
-	// HandOverPromoters: the groups' rows name other promoters. A VM that exits
-	// while a row still names it ends the right to acknowledge of that group.
+	// HandOverPromoters makes the groups' rows name other promoters. If a VM exits
+	// while a row still names it, the group loses its right to acknowledge.
 	HandOverPromoters
-	// Exit: nothing is left, or the drain time is over.
+	// Exit ends the process: no work remains, or the drain time is over.
 	Exit
 )
 
-// String names the action as logs do.
+// String returns the action's name in logs.
 func (a Action) String() string {
 	names := [...]string{
 		Announce: "announce", RefuseNewSessions: "refuse-new-sessions", AskIdleToReconnect: "ask-idle-to-reconnect",
@@ -46,25 +47,27 @@
 	return names[a]
 }
 
-// Load is what a leaving VM still holds.
+// Load is the work that a leaving VM still holds.
 type Load struct {
-	// Announced: the platform or every reachable peer of the data centre knows.
+	// Announced reports whether the platform, or every reachable peer of the data
+	// centre, has been told that the VM leaves.
 	Announced bool
-	// IdleSessions have no transaction open and no statement running.
+	// IdleSessions counts sessions without an open transaction or a running
+	// statement.
 	IdleSessions int
-	// Running counts open transactions and statements, its own callers' and
-	// those that it runs as a pooler.
+	// Running counts open transactions and running statements, both of the VM's
+	// own callers and of other VMs that use it as a pooler.
 	Running    int
 	Poolers    int
 	Promoters  int
-	Unanswered int // Answers computed but not yet handed to their callers.
+	Unanswered int // Answers computed but not yet returned to their callers.
 }
 
 func (l Load) empty() bool {
 	return l.IdleSessions == 0 && l.Running == 0 && l.Poolers == 0 && l.Promoters == 0 && l.Unanswered == 0
 }
 
-// Stop is the plan of a planned stop.
+// Stop is the state of a planned stop of this VM.
 type Stop struct {
 	started mono.Time
 	drain   time.Duration
@@ -78,9 +81,10 @@
 	return &Stop{started: now, drain: max(drain, MinNotice)}
 }
 
-// Tick returns what to do at now. After Exit it returns Exit only.
+// Tick returns the actions to take at now. Once it has returned Exit, it returns
+// only Exit.
 func (s *Stop) Tick(now mono.Time, load Load) []Action {
-	if s.exited || s.over(now, load) {
+	if s.exited || s.finished(now, load) {
 		if !s.exited {
 			s.exited, s.left = true, load
 		}
@@ -102,7 +106,7 @@
 	return actions
 }
 
-func (s *Stop) over(now mono.Time, load Load) bool {
+func (s *Stop) finished(now mono.Time, load Load) bool {
 	waited := now.Sub(s.started)
 	if waited >= s.drain {
 		return true
@@ -110,6 +114,6 @@
 	return load.empty() && load.Announced && waited >= MinNotice
 }
 
-// Left returns what was still held at the exit; all zero for a stop that cut
-// nothing.
+// Left returns the load that remained at the exit. All its counts are zero if
+// the stop cut off no work.
 func (s *Stop) Left() Load { return s.left }
--- a/pkg/membership/list.go
+++ b/pkg/membership/list.go
@@ -5,8 +5,8 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// MergeList takes in the platform's list, read at now. It reports whether any
-// VM's state changed.
+// MergeList merges the platform's list of VMs, read at now, into the table. It
+// reports whether any VM's state changed.
 func (t *Table) MergeList(vms []topology.VM, now mono.Time) bool {
 	for _, e := range t.entries {
 		e.listed = false
@@ -19,18 +19,18 @@
 		if e.listed || id == t.self {
 			continue
 		}
-		if e.forgotten(now) {
+		if e.expired(now) {
 			delete(t.entries, id)
 			changed = true
 			continue
 		}
-		changed = e.unlisted(now) || changed
+		changed = e.observeUnlisted(now) || changed
 	}
 	return changed
 }
 
-// mergeListed takes in one VM of the list. The list may be older than what is
-// known: it may not undo evidence, a leaving mark or an incarnation.
+// mergeListed merges one VM of the list. The list may be older than the table,
+// so it overrides neither evidence nor a leaving mark nor a higher incarnation.
 func (t *Table) mergeListed(vm topology.VM, now mono.Time) bool {
 	e, known := t.entries[vm.ID]
 	if !known {
@@ -42,28 +42,29 @@
 		return false
 	}
 	if vm.ID == t.self && vm.Incarnation > e.VM.Incarnation {
-		return false // Another process under this VM's name; not this one.
+		return false // A different process that uses this VM's ID.
 	}
 	restarted := e.restart(vm)
 	e.VM.Leaving = e.VM.Leaving || vm.Leaving
-	return e.settle(now) || restarted
+	return e.updateState(now) || restarted
 }
 
-// unlisted weighs that the list lacks the VM. Known from an earlier list alone,
-// it is gone; seen alive just now, it is newer than the list; seen alive long
-// ago, it has to be asked.
-func (e *entry) unlisted(now mono.Time) bool {
+// observeUnlisted updates the state of a VM that is missing from the list. A VM known
+// only from an earlier list is dead. One with a fresh sign of life is newer than
+// the list and keeps its state. A live one whose last sign of life is older becomes
+// suspect, so that it is probed.
+func (e *entry) observeUnlisted(now mono.Time) bool {
 	switch {
-	case !e.seenLife:
-		return e.become(Dead, now)
-	case now.Sub(e.lastLife) < EvidenceFresh:
+	case !e.seenAlive:
+		return e.setState(Dead, now)
+	case now.Sub(e.lastAlive) < EvidenceFresh:
 		return false
 	case e.State == Live:
-		return e.become(Suspect, now)
+		return e.setState(Suspect, now)
 	}
 	return false
 }
 
-func (e *entry) forgotten(now mono.Time) bool {
+func (e *entry) expired(now mono.Time) bool {
 	return e.State == Dead && now.Sub(e.Since) >= ForgetAfter
 }
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -14,7 +14,7 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// A fixed seed gives the same verdict on every run; -rapid.seed overrides it.
+// A fixed seed makes every run reproducible; -rapid.seed overrides it.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 func TestMembership(t *testing.T) {
@@ -33,7 +33,7 @@
 
 var _ = Describe("Table", func() {
 	var table *membership.Table
-	see := func(kind membership.Kind, incarnation uint64, ms int) membership.State {
+	observe := func(kind membership.Kind, incarnation uint64, ms int) membership.State {
 		GinkgoHelper()
 		table.Observe(membership.Evidence{VM: vm("x", incarnation), Kind: kind, At: at(ms)})
 		status, ok := table.Status("x")
@@ -43,42 +43,42 @@
 
 	BeforeEach(func() { table = membership.NewTable(vm("self", 1), at(0)) })
 
-	It("has a VM that answers live, although the list lacks it", func() {
-		Expect(see(membership.Answer, 1, 100)).To(Equal(membership.Live))
+	It("keeps a VM that answers live although the list lacks it", func() {
+		Expect(observe(membership.Answer, 1, 100)).To(Equal(membership.Live))
 		table.MergeList(nil, at(200))
-		Expect(see(membership.Refusal, 1, 250)).To(Equal(membership.Live))
+		Expect(observe(membership.Refusal, 1, 250)).To(Equal(membership.Live))
 	})
 
-	// The list still has a VM that died. Callers that were sent to it would hang
-	// until their deadline, each again, for as long as the list lags.
-	It("takes a listed VM that stays silent for suspect, then dead, and keeps it so", func() {
+	// The list still contains a VM that died. Without this check, callers routed to
+	// it would hang until their deadline for as long as the list lags.
+	It("marks a listed VM that stays silent as suspect, then as dead until it answers", func() {
 		table.MergeList([]topology.VM{vm("x", 1)}, at(0))
-		Expect(see(membership.Silence, 1, 100)).To(Equal(membership.Suspect))
-		Expect(see(membership.Silence, 1, 1500)).To(Equal(membership.Suspect))
-		Expect(see(membership.Silence, 1, 1600)).To(Equal(membership.Dead))
+		Expect(observe(membership.Silence, 1, 100)).To(Equal(membership.Suspect))
+		Expect(observe(membership.Silence, 1, 1500)).To(Equal(membership.Suspect))
+		Expect(observe(membership.Silence, 1, 1600)).To(Equal(membership.Dead))
 		table.MergeList([]topology.VM{vm("x", 1)}, at(1700))
 		status, _ := table.Status("x")
 		Expect(status).To(Equal(membership.Status{VM: vm("x", 1), State: membership.Dead, Since: at(1600)}))
-		Expect(see(membership.Heartbeat, 1, 1800)).To(Equal(membership.Live))
+		Expect(observe(membership.Heartbeat, 1, 1800)).To(Equal(membership.Live))
 	})
 
-	It("is quicker when connections are refused, and does not count an attempt from before the last sign of life", func() {
-		Expect(see(membership.Heartbeat, 1, 100)).To(Equal(membership.Live))
-		Expect(see(membership.Silence, 1, 50)).To(Equal(membership.Live))
-		Expect(see(membership.ConnectionRefused, 1, 200)).To(Equal(membership.Suspect))
-		Expect(see(membership.ConnectionRefused, 1, 500)).To(Equal(membership.Dead))
+	It("marks a VM dead sooner when it refuses connections, and ignores failed attempts from before its last sign of life", func() {
+		Expect(observe(membership.Heartbeat, 1, 100)).To(Equal(membership.Live))
+		Expect(observe(membership.Silence, 1, 50)).To(Equal(membership.Live))
+		Expect(observe(membership.ConnectionRefused, 1, 200)).To(Equal(membership.Suspect))
+		Expect(observe(membership.ConnectionRefused, 1, 500)).To(Equal(membership.Dead))
 	})
 
-	It("follows a restart by its higher incarnation and no late message of the old one", func() {
+	It("recognizes a restart by the higher incarnation and ignores late messages of the old one", func() {
 		table.Observe(membership.Evidence{VM: vm("x", 1), Kind: membership.Answer, At: at(0)})
-		see(membership.ConnectionRefused, 1, 10)
-		Expect(see(membership.ConnectionRefused, 1, 400)).To(Equal(membership.Dead))
-		Expect(see(membership.Heartbeat, 0, 500)).To(Equal(membership.Dead))
-		Expect(see(membership.Heartbeat, 2, 600)).To(Equal(membership.Live))
+		observe(membership.ConnectionRefused, 1, 10)
+		Expect(observe(membership.ConnectionRefused, 1, 400)).To(Equal(membership.Dead))
+		Expect(observe(membership.Heartbeat, 0, 500)).To(Equal(membership.Dead))
+		Expect(observe(membership.Heartbeat, 2, 600)).To(Equal(membership.Live))
 	})
 
-	It("asks after a VM that left the list long after its last sign of life, and forgets one known by the list alone", func() {
-		see(membership.Answer, 1, 0)
+	It("suspects an unlisted VM whose last sign of life is old, and forgets one known only from the list", func() {
+		observe(membership.Answer, 1, 0)
 		table.MergeList([]topology.VM{vm("y", 1)}, at(0))
 		late := at(0).Add(membership.EvidenceFresh)
 		table.MergeList(nil, late)
@@ -91,26 +91,26 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	// The list still shows the old process as leaving when its VM has started a
-	// new one. The new one would get no work until the list has caught up.
-	It("does not hold an old incarnation's leaving against the new one", func() {
-		see(membership.Heartbeat, 2, 0)
+	// The list still shows the old process as leaving after its VM has started a
+	// new one. The new process would get no work until the list has caught up.
+	It("does not apply an old incarnation's leaving mark to the new one", func() {
+		observe(membership.Heartbeat, 2, 0)
 		old := vm("x", 1)
 		old.Leaving = true
 		table.MergeList([]topology.VM{old}, at(10))
-		Expect(see(membership.Heartbeat, 2, 20)).To(Equal(membership.Live))
+		Expect(observe(membership.Heartbeat, 2, 20)).To(Equal(membership.Live))
 	})
 
-	It("has a leaving VM that no longer answers leaving until it is dead", func() {
+	It("keeps a leaving VM that no longer answers in state Leaving until it is dead", func() {
 		leaving := vm("x", 1)
 		leaving.Leaving = true
 		table.Observe(membership.Evidence{VM: leaving, Kind: membership.Heartbeat, At: at(0)})
-		Expect(see(membership.Silence, 1, 10)).To(Equal(membership.Leaving))
-		Expect(see(membership.Silence, 1, 1510)).To(Equal(membership.Dead))
-		Expect(see(membership.Answer, 1, 1600)).To(Equal(membership.Leaving))
+		Expect(observe(membership.Silence, 1, 10)).To(Equal(membership.Leaving))
+		Expect(observe(membership.Silence, 1, 1510)).To(Equal(membership.Dead))
+		Expect(observe(membership.Answer, 1, 1600)).To(Equal(membership.Leaving))
 	})
 
-	It("believes nobody that itself is dead, but the list that it is to leave", func() {
+	It("ignores evidence that its own VM is dead, but takes its leaving mark from the list", func() {
 		table.Observe(membership.Evidence{VM: vm("self", 1), Kind: membership.Silence, At: at(10)})
 		table.MergeList(nil, at(60_000))
 		self, _ := table.Status("self")
@@ -122,10 +122,11 @@
 		Expect(self.State).To(Equal(membership.Leaving))
 	})
 
-	// Evidence, lists old and new, restarts and leaving marks come in any order.
-	// Work must not come back to a VM that said it leaves, an old process must not
-	// pass for a new one, and who has just answered must count as there.
-	It("holds its promises under any sequence of messages", func() {
+	// Evidence, old and new lists, restarts and leaving marks arrive in any order.
+	// A VM that announced it is leaving must get no work again, an old process must
+	// not be taken for a new one, and a VM that has just answered must not count as
+	// suspect or dead.
+	It("keeps its invariants under any sequence of messages", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			table := membership.NewTable(vm("self", 1), at(0))
 			var now mono.Time
@@ -166,12 +167,12 @@
 		t.Fatalf("answered, but is %+v", after)
 	}
 	if same && before.State == after.State && before.Since != after.Since {
-		t.Fatalf("same state, other beginning: %+v to %+v", before, after)
+		t.Fatalf("Since changed although the state did not: %+v to %+v", before, after)
 	}
 }
 
 var _ = Describe("Stop", func() {
-	It("asks for each thing until it shows, and leaves when nothing is held and peers had time to hear", func() {
+	It("repeats each action until its effect shows, and exits when no work remains and MinNotice has passed", func() {
 		s := membership.NewStop(at(0), time.Minute)
 		load := membership.Load{IdleSessions: 3, Running: 1, Poolers: 2, Promoters: 1}
 		Expect(s.Tick(at(0), load)).To(Equal([]membership.Action{
@@ -185,7 +186,7 @@
 		Expect(s.Left()).To(Equal(load))
 	})
 
-	It("does not exit before peers had time to hear, and exits at the bound with what is left", func() {
+	It("does not exit before MinNotice has passed, and exits after the drain time with the remaining load", func() {
 		s := membership.NewStop(at(0), 10*time.Second)
 		Expect(s.Tick(at(100), membership.Load{Announced: true})).NotTo(ContainElement(membership.Exit))
 		stuck := membership.Load{Announced: true, Running: 2}
--- a/pkg/membership/rendezvous.go
+++ b/pkg/membership/rendezvous.go
@@ -6,13 +6,14 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Rendezvous hashing (highest random weight): when a VM goes only its own keys
-// move, and each to its next in rank. The library go-rendezvous, which picks
-// groups, gives the first only; poolers and relays need the ranks too.
+// This file implements rendezvous hashing (highest random weight): when a VM
+// leaves, only its own keys move, each to the next VM in rank. The library
+// go-rendezvous, which is used to choose groups, returns only the first node;
+// poolers and relays need the lower ranks too.
 
-// weight mixes a node's hash with a key's. The finalizer is MurmurHash3's: both
-// hashes are good, but a plain xor of them would order nodes alike for keys
-// that differ in low bits only.
+// weight combines a node's hash with a key's and applies the finalizer of
+// MurmurHash3. Both hashes are well distributed, but a plain xor of them would
+// rank the nodes alike for keys that differ in the low bits only.
 func weight(node, key uint64) uint64 {
 	x := node ^ key
 	x ^= x >> 33
@@ -23,9 +24,9 @@
 	return x
 }
 
-// first returns the node of the greatest weight, the first of equal ones; nodes
-// is not empty and sorted by id.
-func first(nodes []node, key uint64) node {
+// firstRanked returns the node with the greatest weight, or the first of several with
+// equal weight. nodes must be sorted by id and not empty.
+func firstRanked(nodes []node, key uint64) node {
 	best, bestWeight := 0, weight(nodes[0].hash, key)
 	for i := 1; i < len(nodes); i++ {
 		if w := weight(nodes[i].hash, key); w > bestWeight {
@@ -35,14 +36,14 @@
 	return nodes[best]
 }
 
-// ranked is a node's id with its weight for one key.
+// ranked is a node's id and its weight for one key.
 type ranked struct {
 	id     topology.VMID
 	weight uint64
 }
 
-// ranks returns up to n nodes, the greatest weight first and the first of equal
-// ones before the others; n is small.
+// ranks returns the ids of up to n nodes by descending weight; nodes of equal
+// weight stay in order. It suits a small n.
 func ranks(nodes []node, key uint64, n int) []topology.VMID {
 	top := make([]ranked, 0, n+1)
 	for _, x := range nodes {
@@ -55,7 +56,8 @@
 	return out
 }
 
-// insert puts r in its place among the n best.
+// insert inserts r into top, which is sorted by descending weight, and truncates
+// the result to n elements.
 func insert(top []ranked, r ranked, n int) []ranked {
 	at := len(top)
 	for at > 0 && top[at-1].weight < r.weight {
--- a/pkg/membership/table.go
+++ b/pkg/membership/table.go
@@ -1,11 +1,11 @@
-// Package membership keeps what one VM knows of the others and chooses, without
-// an election, which VM does what: pooler of a target, relay of a data centre,
-// promoter of a replica. It also plans the stop of a VM that leaves. It does no
-// I/O and reads no clock.
+// Package membership tracks the state of all VMs as seen by one VM. From that it
+// chooses, without an election, the VM for each role: pooler of a target, relay
+// of a data centre, promoter of a replica. It also plans the stop of a VM that
+// leaves. It does no I/O and reads no clock.
 //
-// Direct evidence comes before the platform's list, which lags: a VM that
-// answers is live though the list lacks it, and one that does not answer is not
-// live though the list has it.
+// Direct evidence takes precedence over the platform's list, which lags: a VM
+// that answers is live even if the list lacks it, and a VM that does not answer
+// is not live even if the list contains it.
 package membership
 
 import (
@@ -19,41 +19,46 @@
 
 const (
 	// SilenceToDead is how long attempts must go unanswered before a suspect VM
-	// is dead: above a long pause of its process, below what callers bear.
+	// is dead. It is longer than a long pause of the VM's process and shorter than
+	// the delay that callers tolerate.
 	SilenceToDead = 1500 * time.Millisecond
-	// RefusedToDead is the same for connections that its VM refuses: nothing
-	// listens there, so only a restart has to be waited for.
+	// RefusedToDead is how long connections must be refused before a suspect VM is
+	// dead. It is shorter than SilenceToDead because nothing listens there, so it
+	// only has to cover a restart.
 	RefusedToDead = 300 * time.Millisecond
 	// SilenceToAvoid is how far apart two unanswered attempts must have begun
-	// before a suspect VM is chosen for nothing. Failure: one slow answer moves
-	// the pooler of many targets away and, with the next answer, back; each move
-	// costs new connections and promises. A process that pauses for up to this
-	// long and the time-out of an attempt answers the second one.
+	// before a suspect VM gets no more work. Without it, one slow answer would move
+	// the poolers of many targets to other VMs, and the next answer would move them
+	// back; each move costs new connections and promises. A process that pauses for
+	// no longer than this plus the timeout of an attempt answers the second attempt.
 	SilenceToAvoid = 250 * time.Millisecond
-	// EvidenceFresh is how long a sign of life outweighs that the list lacks
-	// the VM.
+	// EvidenceFresh is how long after its last sign of life a VM stays live although
+	// the list lacks it.
 	EvidenceFresh = 10 * time.Second
-	// ForgetAfter is how long a dead VM that the list lacks is remembered, and
-	// its incarnation with it: longer than the list lags.
+	// ForgetAfter is how long a dead VM that the list lacks stays in the table,
+	// together with its incarnation. It exceeds the lag of the list.
 	ForgetAfter = 5 * time.Minute
 )
 
-// State is what is known of a VM.
+// State is the state of a VM as this VM sees it.
 type State int
 
 // The states of a VM.
 const (
-	// Live: it answers, or the list has it and nothing speaks against it.
+	// Live is a VM that answers, or that is listed and has no failed attempts.
 	Live State = iota + 1
-	// Suspect: an attempt failed after its last sign of life. Probe it.
+	// Suspect is a VM to which an attempt failed after its last sign of life. It
+	// has to be probed.
 	Suspect
-	// Dead: attempts failed for long enough.
+	// Dead is a VM to which attempts failed for SilenceToDead or RefusedToDead, or
+	// a VM known only from an earlier list that is no longer listed.
 	Dead
-	// Leaving: it said, or the platform did, that it stops. It may still answer.
+	// Leaving is a VM that announced its stop, or that the platform lists as
+	// leaving. It may still answer.
 	Leaving
 )
 
-// String names the state as logs and metrics do.
+// String returns the state's name in logs and metrics.
 func (s State) String() string {
 	switch s {
 	case Live:
@@ -68,11 +73,11 @@
 	return "invalid"
 }
 
-// Kind is what was seen of a VM.
+// Kind is a kind of evidence about a VM.
 type Kind int
 
 // The kinds of evidence. The first three are signs of life: a VM that refuses a
-// request is as alive as one that answers it.
+// request is as live as one that answers it.
 const (
 	Answer Kind = iota + 1
 	Refusal
@@ -81,63 +86,65 @@
 	Silence
 )
 
-func (k Kind) life() bool { return k <= Heartbeat }
+func (k Kind) signOfLife() bool { return k <= Heartbeat }
 
-// Evidence is something that this VM saw of another itself.
+// Evidence is a direct observation of another VM by this VM.
 type Evidence struct {
-	// VM carries the id and incarnation; of a VM that may be unknown, all
-	// fields. For ConnectionRefused and Silence only the id counts.
+	// VM holds at least the id and the incarnation, and all fields if the VM may
+	// not be in the table yet. For ConnectionRefused and Silence only the id is used.
 	VM   topology.VM
 	Kind Kind
-	// At is when a sign of life arrived, or when the attempt that failed began,
-	// on this VM's clock: life seen after an attempt began outweighs its failure.
+	// At is when a sign of life arrived or when the failed attempt began, on this
+	// VM's clock. A sign of life that arrives after an attempt began takes
+	// precedence over the failure of that attempt.
 	At mono.Time
 }
 
-// Status is what is known of one VM.
+// Status is the state of one VM as this VM sees it.
 type Status struct {
 	VM    topology.VM
 	State State
 	// Since is when the state began.
 	Since mono.Time
-	// Avoided: a suspect VM that is chosen for nothing: it refused a connection,
-	// or stayed silent for SilenceToAvoid.
+	// Avoided is set for a suspect VM that gets no work because it refused a
+	// connection or stayed silent for SilenceToAvoid.
 	Avoided bool
 }
 
-// choosable reports whether the VM may be given work. One failed attempt makes a
-// VM suspect, and so probed, but does not move its work.
-func (s Status) choosable() bool {
+// eligible reports whether the VM may be given work. One unanswered attempt
+// makes a VM suspect, so that it is probed, but does not move its work.
+func (s Status) eligible() bool {
 	return s.State == Live || s.State == Suspect && !s.Avoided
 }
 
-// entry is one row of the table.
+// entry is one VM in the table.
 type entry struct {
 	Status
-	// lastLife is the last sign of life; valid when seenLife.
-	lastLife mono.Time
-	seenLife bool
-	// troubleSince is the first failed attempt after lastLife; valid when troubled.
-	troubleSince mono.Time
-	troubled     bool
+	// lastAlive is when the last sign of life arrived; valid if seenAlive is set.
+	lastAlive mono.Time
+	seenAlive bool
+	// failingSince is when the first failed attempt after lastAlive began; valid if
+	// failing is set.
+	failingSince mono.Time
+	failing      bool
 	listed       bool
 }
 
-// Table is what one VM knows of all VMs, itself included. It is not safe for
-// concurrent use.
+// Table holds the state of all VMs as seen by one VM, including that VM itself.
+// It is not safe for concurrent use.
 type Table struct {
 	self    topology.VMID
 	entries map[topology.VMID]*entry
 }
 
-// NewTable returns a table that knows self only.
+// NewTable returns a table that contains only self.
 func NewTable(self topology.VM, now mono.Time) *Table {
 	t := &Table{self: self.ID, entries: map[topology.VMID]*entry{}}
 	t.add(self, now)
 	return t
 }
 
-// Status finds a VM.
+// Status returns the status of a VM, and false if the VM is not in the table.
 func (t *Table) Status(id topology.VMID) (Status, bool) {
 	e, ok := t.entries[id]
 	if !ok {
@@ -146,16 +153,17 @@
 	return e.Status, true
 }
 
-// Heard returns when a VM last gave a sign of life; false if it never did.
+// Heard returns when the last sign of life of a VM arrived, and false if there
+// was none.
 func (t *Table) Heard(id topology.VMID) (mono.Time, bool) {
 	e, ok := t.entries[id]
-	if !ok || !e.seenLife {
+	if !ok || !e.seenAlive {
 		return 0, false
 	}
-	return e.lastLife, true
+	return e.lastAlive, true
 }
 
-// Statuses returns all VMs by id.
+// Statuses returns the statuses of all VMs, sorted by id.
 func (t *Table) Statuses() []Status {
 	out := make([]Status, 0, len(t.entries))
 	for _, e := range t.entries {
@@ -169,54 +177,56 @@
 func (t *Table) Leave(now mono.Time) {
 	e := t.entries[t.self]
 	e.VM.Leaving = true
-	e.settle(now)
+	e.updateState(now)
 }
 
-// Observe takes in evidence. It reports whether the VM's state changed.
+// Observe applies evidence to the table. It reports whether the VM's state
+// changed.
 func (t *Table) Observe(ev Evidence) bool {
 	e, known := t.entries[ev.VM.ID]
 	if ev.VM.ID == t.self {
 		return false
 	}
-	if !ev.Kind.life() {
-		return known && e.trouble(ev)
+	if !ev.Kind.signOfLife() {
+		return known && e.failedAttempt(ev)
 	}
 	if !known {
 		if ev.VM.DataCentre == "" {
-			return false // Without its place it can't be chosen for anything.
+			return false // Without a data centre the VM can't be chosen for any role.
 		}
 		e = t.add(ev.VM, ev.At)
-		e.life(ev)
+		e.signOfLife(ev)
 		return true
 	}
-	return e.life(ev)
+	return e.signOfLife(ev)
 }
 
 func (t *Table) add(vm topology.VM, now mono.Time) *entry {
 	e := &entry{Status: Status{VM: vm}}
 	t.entries[vm.ID] = e
-	e.settle(now)
+	e.updateState(now)
 	return e
 }
 
-// life takes in a sign of life. One of an earlier incarnation is a late message
-// of a process that is gone, and says nothing of the one that runs.
-func (e *entry) life(ev Evidence) bool {
+// signOfLife applies a sign of life. One from an earlier incarnation is a late message
+// of a process that has ended, and no evidence about the current process.
+func (e *entry) signOfLife(ev Evidence) bool {
 	if ev.VM.Incarnation < e.VM.Incarnation {
 		return false
 	}
 	restarted := e.restart(ev.VM)
 	e.VM.Leaving = e.VM.Leaving || ev.VM.Leaving
-	if !e.seenLife || ev.At.After(e.lastLife) {
-		e.seenLife, e.lastLife = true, ev.At
+	if !e.seenAlive || ev.At.After(e.lastAlive) {
+		e.seenAlive, e.lastAlive = true, ev.At
 	}
-	if e.troubled && !ev.At.Before(e.troubleSince) {
-		e.troubled = false
+	if e.failing && !ev.At.Before(e.failingSince) {
+		e.failing = false
 	}
-	return e.settle(ev.At) || restarted
+	return e.updateState(ev.At) || restarted
 }
 
-// restart takes over a higher incarnation, with nothing known against it.
+// restart replaces the entry when vm has a higher incarnation, without the
+// failures recorded for the earlier one. It reports whether it did.
 func (e *entry) restart(vm topology.VM) bool {
 	if vm.Incarnation <= e.VM.Incarnation {
 		return false
@@ -228,49 +238,51 @@
 	return true
 }
 
-// trouble takes in a failed attempt. Death takes failed attempts over a stretch
-// of time, not time alone: after one lost message in an otherwise silent hour a
-// healthy VM would count as dead without having been asked again.
-func (e *entry) trouble(ev Evidence) bool {
-	if e.seenLife && !ev.At.After(e.lastLife) {
+// failedAttempt applies a failed attempt. A VM is only declared dead when attempts fail
+// over a period of time; elapsed time alone isn't enough. Otherwise, after one lost
+// message in an hour without traffic, a healthy VM would count as dead without
+// having been probed again.
+func (e *entry) failedAttempt(ev Evidence) bool {
+	if e.seenAlive && !ev.At.After(e.lastAlive) {
 		return false
 	}
-	if !e.troubled || ev.At.Before(e.troubleSince) {
-		e.troubled, e.troubleSince = true, ev.At
+	if !e.failing || ev.At.Before(e.failingSince) {
+		e.failing, e.failingSince = true, ev.At
 	}
 	if e.State == Dead {
 		return false
 	}
-	patience := SilenceToDead
+	deadAfter := SilenceToDead
 	if ev.Kind == ConnectionRefused {
-		patience = RefusedToDead
+		deadAfter = RefusedToDead
 	}
-	if ev.At.Sub(e.troubleSince) >= patience {
-		return e.become(Dead, ev.At)
+	if ev.At.Sub(e.failingSince) >= deadAfter {
+		return e.setState(Dead, ev.At)
 	}
 	if e.State == Leaving {
 		return false
 	}
-	avoided := ev.Kind == ConnectionRefused || ev.At.Sub(e.troubleSince) >= SilenceToAvoid
+	avoided := ev.Kind == ConnectionRefused || ev.At.Sub(e.failingSince) >= SilenceToAvoid
 	newlyAvoided := avoided && !e.Avoided
 	e.Avoided = e.Avoided || avoided
-	return e.become(Suspect, ev.At) || newlyAvoided
+	return e.setState(Suspect, ev.At) || newlyAvoided
 }
 
-// settle makes an entry without failed attempts live or leaving. Leaving sticks to the
-// incarnation: a message sent before the mark would bring work back to a VM that
-// is about to stop.
-func (e *entry) settle(now mono.Time) bool {
-	if e.troubled && (e.State == Dead || e.State == Suspect) {
+// updateState makes an entry without failed attempts live or leaving. The leaving mark
+// is permanent for an incarnation: otherwise a message sent before the mark was
+// set would bring work back to a VM that is about to stop.
+func (e *entry) updateState(now mono.Time) bool {
+	if e.failing && (e.State == Dead || e.State == Suspect) {
 		return false
 	}
 	if e.VM.Leaving {
-		return e.become(Leaving, now)
+		return e.setState(Leaving, now)
 	}
-	return e.become(Live, now)
+	return e.setState(Live, now)
 }
 
-func (e *entry) become(s State, now mono.Time) bool {
+// setState sets the state and reports whether it changed.
+func (e *entry) setState(s State, now mono.Time) bool {
 	if e.State == s {
 		return false
 	}
--- a/pkg/membership/view.go
+++ b/pkg/membership/view.go
@@ -10,27 +10,30 @@
 )
 
 const (
-	// RelaysPerDataCentre is the least number of VMs of a data centre that poll the
-	// platform for the others: two, so that one may die without a gap.
+	// RelaysPerDataCentre is the minimum number of VMs of a data centre that poll
+	// the platform for the others. With two, polling continues when one dies.
 	RelaysPerDataCentre = 2
-	// VMsPerRelay is how many VMs of a data centre one relay answers: a watch
-	// costs some 200 bytes a second, and all control has 5 KB a second.
+	// VMsPerRelay is the maximum number of VMs of a data centre that one relay
+	// serves. A watch uses about 200 bytes/s, and the limit for all control traffic
+	// is 5 KB/s.
 	VMsPerRelay = 20
 )
 
-// relayKey keeps the choice of relays apart from that of poolers.
-const relayKey = "relay/"
+// relayKeyPrefix is the prefix of the hash keys for relays, which makes the choice of
+// relays independent of the choice of poolers.
+const relayKeyPrefix = "relay/"
 
-// View is the VMs that may be chosen, as of one instant. It never changes, so it
-// may be shared. VMs with equal views choose alike: nothing but ids is weighed.
+// View is a snapshot of the VMs that may be chosen. It is immutable, so it may be
+// shared. VMs with equal views make equal choices, which depend only on ids and
+// regions.
 type View struct {
 	regions map[topology.DataCentre]string
 	centres map[topology.DataCentre]*centre
-	// order holds the data centres that have a live VM, by name.
+	// order holds the data centres that have an eligible VM, sorted by name.
 	order []*centre
 }
 
-// centre is one data centre with its live VMs by id.
+// centre is a data centre with its eligible VMs, sorted by id.
 type centre struct {
 	name   topology.DataCentre
 	region string
@@ -38,20 +41,20 @@
 	vms    []node
 }
 
-// node is a VM with its hash, taken once.
+// node is a VM with its precomputed hash.
 type node struct {
 	id          topology.VMID
 	incarnation topology.Incarnation
 	hash        uint64
 }
 
-// View takes the VMs that may be given work: live ones, and suspect ones until
-// their silence has lasted. regions gives each
-// data centre's region, also of those without a VM.
+// View returns a view of the VMs that may be given work: the live ones, and the
+// suspect ones that are not yet avoided. regions maps each data centre to its
+// region, including data centres without a VM.
 func (t *Table) View(regions map[topology.DataCentre]string) *View {
 	v := &View{regions: regions, centres: map[topology.DataCentre]*centre{}}
 	for _, e := range t.entries {
-		if e.choosable() {
+		if e.eligible() {
 			v.add(e.VM)
 		}
 	}
@@ -77,9 +80,9 @@
 	c.vms = append(c.vms, n)
 }
 
-// PoolerOf returns the VM that pools a target's connections: the first live one
-// of the target's data centre, or else of another in its region, or else of any.
-// It reports false when no VM is live.
+// PoolerOf returns the VM that pools a target's connections: the first in rank in
+// the target's data centre, or else in another data centre of its region, or else
+// in any data centre. It returns false if the view has no VM.
 func (v *View) PoolerOf(target topology.TargetID, dc topology.DataCentre) (topology.VMID, bool) {
 	n, ok := v.pooler(target, dc)
 	return n.id, ok
@@ -91,11 +94,11 @@
 	if c == nil {
 		return node{}, false
 	}
-	return first(c.vms, key), true
+	return firstRanked(c.vms, key), true
 }
 
-// PoolerRanks returns up to n VMs for a target, the pooler first, then those to
-// turn to when it can't be reached; all are of one data centre.
+// PoolerRanks returns up to n VMs for a target: the pooler, followed by the VMs to
+// try when it can't be reached. All are in the same data centre.
 func (v *View) PoolerRanks(target topology.TargetID, dc topology.DataCentre, n int) []topology.VMID {
 	key := xxhash.Sum64String(string(target))
 	c := v.centreFor(key, dc)
@@ -105,20 +108,21 @@
 	return ranks(c.vms, key, n)
 }
 
-// Relays returns the VMs of a data centre that poll the platform for it, fewer
-// than RelaysPerDataCentre when it has fewer live ones, and more in a large one.
+// Relays returns the VMs of a data centre that poll the platform for it. There
+// are fewer than RelaysPerDataCentre if the view has fewer VMs there, and more if
+// one relay per VMsPerRelay VMs requires it.
 func (v *View) Relays(dc topology.DataCentre) []topology.VMID {
 	c, ok := v.centres[dc]
 	if !ok {
 		return nil
 	}
 	n := max(RelaysPerDataCentre, (len(c.vms)+VMsPerRelay-1)/VMsPerRelay)
-	return ranks(c.vms, xxhash.Sum64String(relayKey+string(dc)), n)
+	return ranks(c.vms, xxhash.Sum64String(relayKeyPrefix+string(dc)), n)
 }
 
-// Promoters returns the promoters that the group's row should have: for each
-// replica that does not leave, the pooler of that replica. A replica keeps its
-// Synced mark of the present row.
+// Promoters returns the promoters that the group's row should name: for each
+// replica that is not leaving, the pooler of that replica. A replica keeps the
+// Synced mark that it has in the current row.
 func (v *View) Promoters(row *topology.Group, targets []topology.Target) []topology.Promoter {
 	synced := map[topology.TargetID]bool{}
 	for _, p := range row.Promoters {
@@ -136,29 +140,30 @@
 	return out
 }
 
-// centreFor returns the data centre itself while it has a live VM, or else the
-// nearest that has: its region's first, then any, each in the key's own order,
-// so that a lost data centre's load spreads.
+// centreFor returns the data centre itself if it has a VM in the view, or else
+// another one that has, preferably in the same region. Among several it picks the
+// one with the greatest weight for the key, so that the load of a lost data
+// centre is spread over the others.
 func (v *View) centreFor(key uint64, dc topology.DataCentre) *centre {
 	if c, ok := v.centres[dc]; ok {
 		return c
 	}
 	region, known := v.regions[dc]
-	var near, far *centre
+	var inRegion, anywhere *centre
 	for _, c := range v.order {
-		if known && c.region == region && beats(c, near, key) {
-			near = c
+		if known && c.region == region && outranks(c, inRegion, key) {
+			inRegion = c
 		}
-		if beats(c, far, key) {
-			far = c
+		if outranks(c, anywhere, key) {
+			anywhere = c
 		}
 	}
-	if near != nil {
-		return near
+	if inRegion != nil {
+		return inRegion
 	}
-	return far
+	return anywhere
 }
 
-func beats(c, best *centre, key uint64) bool {
+func outranks(c, best *centre, key uint64) bool {
 	return best == nil || weight(c.hash, key) > weight(best.hash, key)
 }
--- a/pkg/membership/view_test.go
+++ b/pkg/membership/view_test.go
@@ -13,15 +13,16 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// The plan's size: VMs and targets of one data centre, and all VMs.
+// The planned size: VMs and targets per data centre, and number of data centres.
 const (
 	centreVMs     = 162
 	centreTargets = 583
 	centres       = 24
 )
 
-// maxSpread bounds the most poolers on one VM, as a multiple of the mean of 3.6:
-// targets fall on VMs at random, so some VMs get several times the mean.
+// maxSpread limits the number of targets that one VM pools, as a multiple of the
+// mean of 3.6. Hashing distributes targets randomly, so some VMs get several times
+// the mean.
 const maxSpread = 5
 
 func centreOf(dc, prefix string, n int) []topology.VM {
@@ -54,7 +55,7 @@
 var regions = map[topology.DataCentre]string{"a": "r", "b": "r", "c": "far"}
 
 var _ = Describe("View", func() {
-	It("moves only the targets of the VM that goes, each to its next in rank, and spreads within the bound", func() {
+	It("moves only the targets of a leaving VM, each to the next VM in rank, and distributes targets within the limit", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			vms := centreOf("a", rapid.StringN(0, 8, 8).Draw(t, "prefix"), centreVMs)
 			table := tableOf(vms)
@@ -82,7 +83,7 @@
 		})
 	})
 
-	It("chooses alike on all VMs that know the same, in whatever order they heard it", func() {
+	It("makes the same choices for the same VMs in any order of arrival", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			vms := append(centreOf("a", "", 7), centreOf("b", "", 7)...)
 			shuffled := rapid.Permutation(vms).Draw(t, "order")
@@ -95,7 +96,7 @@
 		})
 	})
 
-	It("turns to the region and then to any data centre when a target's own has no live VM", func() {
+	It("falls back to the region and then to any data centre when the target's own has no live VM", func() {
 		near := tableOf(append(centreOf("b", "", 2), topology.VM{ID: "f", DataCentre: "c", Region: "far"})).View(regions)
 		for i := range 50 {
 			id, ok := near.PoolerOf(target(i), "a")
@@ -108,14 +109,14 @@
 		Expect(far.Relays("a")).To(BeEmpty())
 	})
 
-	It("chooses nobody when nobody is live", func() {
+	It("chooses no pooler when no VM is live", func() {
 		table := tableOf(centreOf("a", "", 1))
 		table.Leave(1)
 		_, ok := table.View(regions).PoolerOf("t", "a")
 		Expect(ok).To(BeFalse())
 	})
 
-	It("names the replicas' poolers as promoters, with their incarnations and marks", func() {
+	It("names the replicas' poolers as promoters, with their incarnations and Synced marks", func() {
 		view := tableOf(append(centreOf("a", "", 3), centreOf("b", "", 3)...)).View(regions)
 		row := &topology.Group{Primary: "t1", Promoters: []topology.Promoter{{VM: "gone", Replica: "t2", Synced: true}}}
 		targets := []topology.Target{
@@ -169,8 +170,8 @@
 	}
 }
 
-// BenchmarkTableMemory reports what a table of all VMs keeps, strings of the
-// list shared.
+// BenchmarkTableMemory reports the heap bytes held by a table of all VMs; the
+// strings are shared with the list.
 func BenchmarkTableMemory(b *testing.B) {
 	vms := allVMs()
 	var before, after runtime.MemStats
