--- a/pkg/invariant/invariant.go
+++ b/pkg/invariant/invariant.go
@@ -1,4 +1,4 @@
-// Package invariant asserts, inside the running program, what must always hold.
+// Package invariant checks invariants at run time.
 package invariant
 
 import (
@@ -7,7 +7,7 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// disabled is inverted so that the zero value leaves the checks on.
+// disabled is negated so that the checks are on by default.
 var disabled atomic.Bool
 
 // Enable turns the checks on or off for the whole program; they start on.
@@ -15,7 +15,7 @@
 func Enable(on bool) { disabled.Store(!on) }
 
 // Enabled reports whether the checks are on, so that a caller can skip the work
-// of an expensive one.
+// of an expensive check.
 func Enabled() bool { return !disabled.Load() }
 
 // Check panics with a *result.Error of code InvariantBroken when the checks are
--- a/pkg/invariant/invariant_test.go
+++ b/pkg/invariant/invariant_test.go
@@ -16,7 +16,7 @@
 }
 
 var _ = Describe("Check", func() {
-	It("panics with code 1901 unless it is turned off", func() {
+	It("panics with code InvariantBroken unless the checks are off", func() {
 		broken := func() { invariant.Check(false, "slots %d", 3) }
 		Expect(broken).To(PanicWith(HaveField("Code", result.InvariantBroken)))
 		invariant.Enable(false)
--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -8,8 +8,8 @@
 	"github.com/buckthornshore/buckthornshore/pkg/mono"
 )
 
-// Budgets bounds the retries of each member and class by a token bucket: retries
-// without a bound multiply the load on what has just failed.
+// Budgets limits the retries of each member and class with a token bucket:
+// unlimited retries would multiply the load on a component that has just failed.
 type Budgets struct {
 	perSecond rate.Limit
 	burst     int
@@ -18,13 +18,13 @@
 
 type bucketKey struct{ member, class string }
 
-// NewBudgets allows perSecond retries, and burst at once, to each member and
-// class. perSecond must be above zero.
+// NewBudgets returns budgets that allow each member and class perSecond retries
+// per second and bursts of up to burst retries. perSecond must be above zero.
 func NewBudgets(perSecond float64, burst int) *Budgets {
 	return &Budgets{perSecond: rate.Limit(perSecond), burst: burst, buckets: make(map[bucketKey]*rate.Limiter)}
 }
 
-// take takes a retry out of the budget and reports whether there was one.
+// take takes one retry from the budget and reports whether the budget allowed it.
 func (b *Budgets) take(member, class string, now mono.Time) bool {
 	key := bucketKey{member, class}
 	bucket, ok := b.buckets[key]
@@ -35,7 +35,7 @@
 	return bucket.AllowN(time.Unix(0, int64(now)), 1)
 }
 
-// refill returns the time in which an empty bucket gets a token.
-func (b *Budgets) refill() time.Duration {
+// refillTime returns how long an empty bucket takes to gain one token.
+func (b *Budgets) refillTime() time.Duration {
 	return time.Duration(float64(time.Second) / float64(b.perSecond))
 }
--- a/pkg/retry/codes.go
+++ b/pkg/retry/codes.go
@@ -2,22 +2,22 @@
 
 import "github.com/buckthornshore/buckthornshore/pkg/result"
 
-// mend says which failures another attempt can mend.
-type mend int
+// retryScope is the kind of requests for which a failure is retryable.
+type retryScope int
 
 const (
-	// never: the request is wrong, or the answer is final.
-	never mend = iota
-	// always: the route changes (another primary, pooler or replica), or what
-	// was lacking comes free.
+	// never is for failures in which the request is wrong or the answer is final.
+	never retryScope = iota
+	// always is for failures after which the request takes a different route
+	// (another primary, pooler or replica) or the missing resource becomes free.
 	always
-	// reads: another target may have room. A write has only the primary, and
-	// trying a full queue again would make an overload worse: its caller gets the
-	// refusal and its RetryAfter at once.
-	reads
+	// readsOnly is for failures where another target may have capacity for a read. A
+	// write has only the primary, and retrying on a full queue would worsen the
+	// overload, so its caller gets the refusal and its RetryAfter at once.
+	readsOnly
 )
 
-var codes = map[result.Code]mend{
+var retryScopes = map[result.Code]retryScope{
 	result.NoPrimary:         always,
 	result.NoRight:           always,
 	result.TermRefused:       always,
@@ -27,39 +27,39 @@
 	result.ReplicaBehind:     always,
 	result.PoolerUnreachable: always,
 	result.WrongPooler:       always,
-	// After a failover no replica is synced for a moment.
+	// For a short time after a failover no replica is synced.
 	result.NoReplicaForClass: always,
 	result.ConnectionsInUse:  always,
 	result.Leaving:           always,
-	result.QueueFull:         reads,
-	result.DeadlineInQueue:   reads,
-	result.MemberLimit:       reads,
-	result.Overloaded:        reads,
-	result.TooManyInFlight:   reads,
-	result.AgeNotShown:       reads,
+	result.QueueFull:         readsOnly,
+	result.DeadlineInQueue:   readsOnly,
+	result.MemberLimit:       readsOnly,
+	result.Overloaded:        readsOnly,
+	result.TooManyInFlight:   readsOnly,
+	result.AgeNotShown:       readsOnly,
 }
 
-// mends reports whether another attempt can mend the failure. A request that ran
-// is never tried again.
-func mends(err *result.Error, class *Class) bool {
+// retryable reports whether another attempt may succeed. A request that ran is never
+// retried.
+func retryable(err *result.Error, class *Class) bool {
 	if err.Ran == result.Done {
 		return false
 	}
-	switch codes[err.Code] {
+	switch retryScopes[err.Code] {
 	case always:
 		return true
-	case reads:
+	case readsOnly:
 		return class.Read
 	case never:
 	}
 	return false
 }
 
-// costs reports whether the attempt loaded anything, so that another one is paid
-// for by the budget. Attempts that found nobody to run them reached no target; if
-// they cost, a failover would spend the budget in its first moment and fail every
-// write.
-func costs(err *result.Error) bool {
+// costsBudget reports whether a retry after the failure is taken from the budget, which
+// it is unless the attempt put no load on a target. Attempts without a reachable
+// primary, pooler or replica put no load on a target; if their retries counted, a
+// failover would exhaust the budget at its very start and every write would fail.
+func costsBudget(err *result.Error) bool {
 	switch err.Code {
 	case result.NoPrimary, result.NoRight, result.TermRefused, result.PoolerUnreachable, result.WrongPooler,
 		result.TargetUnreachable, result.NoReplicaForClass, result.Leaving:
--- a/pkg/retry/retry.go
+++ b/pkg/retry/retry.go
@@ -1,8 +1,8 @@
-// Package retry decides whether and when a failed request is tried again, and
-// what the final answer is if not.
+// Package retry decides whether and when a failed request is retried, and
+// determines the final answer if it is not.
 //
-// It does no I/O, reads no clock and draws no random numbers of its own. Not safe
-// for concurrent use.
+// It does no I/O, reads no clock and has no random source of its own. It is not
+// safe for concurrent use.
 package retry
 
 import (
@@ -13,109 +13,113 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// Class is what decides whether a request may run twice.
+// Class holds the properties of a request class that decide whether a request may
+// run twice.
 type Class struct {
 	Name string
-	// Read: the class changes nothing.
+	// Read is set if the class changes no data.
 	Read bool
-	// Repeatable: the class may run twice if its request id is in the ledger.
+	// Repeatable is set if a request may be sent again after an unknown outcome,
+	// provided that Ledger is set too.
 	Repeatable bool
-	// Ledger: each request has an id that is written in its own transaction, so
-	// that a second run fails as AlreadyRan.
+	// Ledger is set if each request has an id that is written in the request's own
+	// transaction, so that a second run fails with AlreadyRan.
 	Ledger bool
 }
 
-// repeats reports whether the class may be sent again after an unknown outcome.
-func (c *Class) repeats() bool { return c.Read || c.Repeatable && c.Ledger }
+// idempotent reports whether the class may be sent again after an unknown outcome.
+func (c *Class) idempotent() bool { return c.Read || c.Repeatable && c.Ledger }
 
 // Outcome is a failed attempt.
 type Outcome struct {
 	// Attempt numbers the attempts of the request from 1.
 	Attempt int
 	Err     *result.Error
-	// InTransaction: earlier statements of the transaction ran on the connection
-	// that failed, so only the caller can begin anew.
+	// InTransaction is set if earlier statements of the transaction ran on the
+	// failed connection, so that only the caller can restart the transaction.
 	InTransaction bool
-	// Member pays for the retry.
+	// Member is the member whose budget the retry is taken from.
 	Member string
 }
 
-// Policy bounds the tries.
+// Policy limits the number of attempts and sets the delay between them.
 type Policy struct {
-	// Base is the back-off's bound before the second attempt; it doubles with
-	// each one, up to Cap.
+	// Base is the maximum delay before the second attempt. The maximum doubles with
+	// each further attempt, up to Cap.
 	Base time.Duration
 	Cap  time.Duration
-	// Attempts is the greatest number of attempts.
+	// Attempts is the maximum number of attempts.
 	Attempts int
-	// Expected is how long an attempt takes.
+	// Expected is the expected duration of an attempt.
 	Expected time.Duration
 }
 
-// DefaultPolicy suits the brief's places: 1 ms between data centres, and a
-// failover that takes a second or two. Attempts suffice for ten seconds of it.
+// DefaultPolicy returns a policy for data centres that are 1 ms apart and a
+// failover that takes one or two seconds. Its Attempts last for a failover of ten
+// seconds.
 func DefaultPolicy() Policy {
 	return Policy{Base: 5 * time.Millisecond, Cap: 100 * time.Millisecond, Attempts: 200, Expected: 10 * time.Millisecond}
 }
 
-// Random draws a number in [0, n); *rand.Rand of math/rand/v2 does.
+// Random is a source of random numbers in [0, n). *rand.Rand of math/rand/v2
+// implements it.
 type Random interface {
 	Int64N(n int64) int64
 }
 
-// Decision is either to try again or the final answer.
+// Decision is either a retry or the final answer.
 type Decision struct {
-	// After is how long to wait before the next attempt, when Err is nil.
+	// After is the delay before the next attempt; valid if Err is nil.
 	After time.Duration
-	// Err is the final answer.
+	// Err is the final answer, or nil for a retry.
 	Err *result.Error
 }
 
-// Next decides what follows a failed attempt. The next attempt is only made if it
-// is expected to end by the deadline: else the caller gets its final answer now
-// rather than at the deadline.
+// Next decides how to proceed after a failed attempt. A retry is only chosen if it
+// is expected to end by the deadline; otherwise the caller gets the final answer
+// immediately rather than at the deadline.
 func (p Policy) Next(o Outcome, class Class, budgets *Budgets, now, deadline mono.Time, random Random) Decision {
-	if o.Err.Ran == result.Unknown && !class.repeats() {
-		return Decision{Err: unknown(o.Err)}
+	if o.Err.Ran == result.Unknown && !class.idempotent() {
+		return Decision{Err: unknownOutcome(o.Err)}
 	}
-	if o.InTransaction || !mends(o.Err, &class) {
+	if o.InTransaction || !retryable(o.Err, &class) {
 		return Decision{Err: o.Err}
 	}
-	bound := p.bound(o.Attempt)
-	after := max(jitter(bound, random), o.Err.RetryAfter)
-	comeBack := max(bound, o.Err.RetryAfter)
-	if o.Attempt >= p.Attempts || now.Add(after+p.Expected) > deadline {
-		return Decision{Err: o.Err.After(comeBack)}
+	maxDelay := p.maxDelay(o.Attempt)
+	delay := max(jitter(maxDelay, random), o.Err.RetryAfter)
+	retryAfter := max(maxDelay, o.Err.RetryAfter)
+	if o.Attempt >= p.Attempts || now.Add(delay+p.Expected) > deadline {
+		return Decision{Err: o.Err.After(retryAfter)}
 	}
-	if costs(o.Err) && !budgets.take(o.Member, class.Name, now) {
-		return Decision{Err: exhausted(o.Err, max(comeBack, budgets.refill()))}
+	if costsBudget(o.Err) && !budgets.take(o.Member, class.Name, now) {
+		return Decision{Err: budgetExhausted(o.Err, max(retryAfter, budgets.refillTime()))}
 	}
-	invariant.Check(o.Err.Ran == result.NotRun || class.repeats(), "class %s is tried again after %s", class.Name, o.Err.Ran)
-	return Decision{After: after}
+	invariant.Check(o.Err.Ran == result.NotRun || class.idempotent(), "class %s is tried again after %s", class.Name, o.Err.Ran)
+	return Decision{After: delay}
 }
 
-// unknown is the final answer when a request may have run and may not run twice.
-// Coming back with the same request would risk a second run, so it has no
-// RetryAfter; the caller asks by its request id.
-func unknown(err *result.Error) *result.Error {
+// unknownOutcome returns the final answer for a request that may have run and must not
+// run twice. It has no RetryAfter, since sending the same request again would risk
+// a second run; the caller looks up the outcome by its request id.
+func unknownOutcome(err *result.Error) *result.Error {
 	if err.Code == result.NotReplicated {
-		return err // Committed for certain: the caller is told more than "unknown".
+		return err // The write is committed, which is more precise than "unknown".
 	}
-	// Without err's own text, which names a time to come back.
+	// err.Error() would include a time after which to retry.
 	return result.New(result.OutcomeUnknown, "%s: %s", err.Code.Name(), err.Detail)
 }
 
-// exhausted is the final answer when the budget is spent. What is not known to be
-// without effect keeps its own code, since BudgetExhausted says "not run".
-func exhausted(err *result.Error, after time.Duration) *result.Error {
+// budgetExhausted returns the final answer when the budget is exhausted. A failure that
+// may have had an effect keeps its own code, since BudgetExhausted means "not run".
+func budgetExhausted(err *result.Error, retryAfter time.Duration) *result.Error {
 	if err.Ran != result.NotRun {
-		return err.After(after)
+		return err.After(retryAfter)
 	}
-	return result.New(result.BudgetExhausted, "%s", err.Error()).After(after)
+	return result.New(result.BudgetExhausted, "%s", err.Error()).After(retryAfter)
 }
 
-// bound returns the longest wait before the attempt after the given one.
-func (p Policy) bound(attempt int) time.Duration {
+// maxDelay returns the maximum delay before the attempt that follows the given one.
+func (p Policy) maxDelay(attempt int) time.Duration {
 	d := p.Base
 	for i := 1; i < attempt && d < p.Cap; i++ {
 		d *= 2
@@ -123,8 +127,8 @@
 	return min(d, p.Cap)
 }
 
-// jitter draws from the whole range up to bound: requests that failed together,
-// as at a failover, would otherwise come back together.
-func jitter(bound time.Duration, random Random) time.Duration {
-	return time.Duration(random.Int64N(int64(bound) + 1))
+// jitter returns a random delay between zero and maxDelay. Without it, requests that
+// fail together, as in a failover, would be retried at the same time.
+func jitter(maxDelay time.Duration, random Random) time.Duration {
+	return time.Duration(random.Int64N(int64(maxDelay) + 1))
 }
--- a/pkg/retry/retry_test.go
+++ b/pkg/retry/retry_test.go
@@ -34,10 +34,10 @@
 }
 
 var _ = Describe("Next", func() {
-	// Answers get lost in any order and number. A payment may then have been
-	// recorded, so whatever the codes say, nothing may follow an attempt that may
-	// have run, and the final answer must not claim that nothing ran.
-	It("never makes a second possibly-run attempt of a class that may not repeat", func() {
+	// Any number of answers may be lost, in any order. A payment may then have been
+	// recorded, so whatever the result code, an attempt that may have run must not
+	// be retried, and the final answer must not claim that nothing ran.
+	It("never retries an attempt that may have run, for a class that may not run twice", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			class := retry.Class{Name: "payment", Ledger: rapid.Bool().Draw(t, "ledger")}
 			if !class.Ledger {
@@ -51,7 +51,7 @@
 				d := policy.Next(retry.Outcome{Attempt: attempt, Err: e, Member: "m"}, class, budgets, now, deadline, random)
 				if d.Err == nil {
 					if e.Ran != result.NotRun {
-						t.Fatalf("tried again after %v", e)
+						t.Fatalf("retried after %v", e)
 					}
 					if now = now.Add(d.After); now >= deadline {
 						t.Fatalf("the next attempt begins %v after the deadline", now.Sub(deadline))
@@ -76,16 +76,16 @@
 	},
 		Entry("a write of a replaced term goes to the new primary", retry.Class{}, result.TermRefused, true, result.Code(0)),
 		Entry("a silent target leaves a payment unknown", retry.Class{Ledger: true}, result.TargetSilent, false, result.OutcomeUnknown),
-		Entry("a repeatable class without a ledger, too", retry.Class{Repeatable: true}, result.TargetSilent, false, result.OutcomeUnknown),
-		Entry("its ledger makes it idempotent", retry.Class{Repeatable: true, Ledger: true}, result.TargetSilent, true, result.Code(0)),
+		Entry("a silent target leaves a repeatable class without a ledger unknown", retry.Class{Repeatable: true}, result.TargetSilent, false, result.OutcomeUnknown),
+		Entry("the ledger makes a repeatable class idempotent", retry.Class{Repeatable: true, Ledger: true}, result.TargetSilent, true, result.Code(0)),
 		Entry("a read is idempotent", retry.Class{Read: true}, result.TargetSilent, true, result.Code(0)),
-		Entry("a write does not press a full queue", retry.Class{}, result.QueueFull, false, result.QueueFull),
-		Entry("a read finds another target", retry.Class{Read: true}, result.QueueFull, true, result.Code(0)),
-		Entry("committed but not replicated stays so", retry.Class{}, result.NotReplicated, false, result.NotReplicated),
+		Entry("a write is not retried on a full queue", retry.Class{}, result.QueueFull, false, result.QueueFull),
+		Entry("a read refused by a full queue tries another target", retry.Class{Read: true}, result.QueueFull, true, result.Code(0)),
+		Entry("a write that committed but was not replicated keeps its code", retry.Class{}, result.NotReplicated, false, result.NotReplicated),
 		Entry("a lost write is reported", retry.Class{Read: true}, result.WriteLost, false, result.WriteLost),
 	)
 
-	It("gives the final answer now, with when to come back, once the deadline or the budget is short", func() {
+	It("returns the final answer at once, with RetryAfter, when the deadline is too close or the budget is exhausted", func() {
 		random := rand.New(rand.NewPCG(1, 1))
 		budgets := retry.NewBudgets(1, 1)
 		next := func(code result.Code, deadline mono.Time) retry.Decision {
@@ -94,8 +94,9 @@
 		Expect(next(result.ConnectionsInUse, 5*ms).Err).To(And(HaveField("Code", result.ConnectionsInUse), HaveField("RetryAfter", 5*time.Millisecond)))
 		Expect(next(result.ConnectionsInUse, 1000*ms).Err).To(BeNil())
 		Expect(next(result.ConnectionsInUse, 1000*ms).Err).To(And(HaveField("Code", result.BudgetExhausted), HaveField("RetryAfter", time.Second)))
-		// Attempts that reached no target are free, or a failover would spend the
-		// budget in its first moment; the deadline still bounds them.
+		// Retries of attempts that reached no target don't count against the budget,
+		// or a failover would exhaust it at its very start. The deadline still limits
+		// them.
 		for range 100 {
 			Expect(next(result.NoRight, 1000*ms).Err).To(BeNil())
 		}
@@ -104,15 +105,15 @@
 })
 
 var _ = Describe("A failover", func() {
-	// The primary dies; for two seconds each attempt to write finds no primary.
-	// Requests arrive all the while, with five seconds left each. None may be
-	// given up, and they should not wait long once the new primary is there.
-	It("costs a write with time left a wait and not an error", func() {
+	// The primary dies, and for two seconds every write attempt finds no primary.
+	// Requests keep arriving, each with a deadline of five seconds. None may fail,
+	// and they should not wait long once the new primary is available.
+	It("delays a write whose deadline has not passed instead of failing it", func() {
 		const gap = 2000 * ms
 		random := rand.New(rand.NewPCG(1, 1))
 		policy, budgets := retry.DefaultPolicy(), retry.NewBudgets(10, 20)
-		var late []time.Duration
-		crowd := map[mono.Time]int{}
+		var delays []time.Duration
+		perInterval := map[mono.Time]int{}
 		for arrived := mono.Time(0); arrived < gap; arrived += 2 * ms {
 			now := arrived
 			for attempt := 1; now < gap; attempt++ {
@@ -121,15 +122,15 @@
 				Expect(d.Err).To(BeNil(), "attempt %d at %v of a request of %v", attempt, now.Sub(0), arrived.Sub(0))
 				now = now.Add(d.After)
 			}
-			late = append(late, now.Sub(gap))
-			crowd[now/(10*ms)]++
+			delays = append(delays, now.Sub(gap))
+			perInterval[now/(10*ms)]++
 		}
-		slices.Sort(late)
+		slices.Sort(delays)
 		most := 0
-		for _, n := range crowd {
+		for _, n := range perInterval {
 			most = max(most, n)
 		}
-		GinkgoWriter.Printf("late p50=%v p99=%v, at most %d of %d in 10 ms\n", late[len(late)/2], late[len(late)*99/100], most, len(late))
+		GinkgoWriter.Printf("delay after the failover p50=%v p99=%v, at most %d of %d in 10 ms\n", delays[len(delays)/2], delays[len(delays)*99/100], most, len(delays))
 	})
 })
 
