--- a/pkg/platform/memory.go
+++ b/pkg/platform/memory.go
@@ -9,8 +9,8 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Memory is the platform in memory: the twin for tests, and what the stand-in
-// process serves. Safe for concurrent use.
+// Memory is an in-memory implementation of Service. Tests use it, and the
+// stand-in process serves it. It is safe for concurrent use.
 type Memory struct {
 	mu       sync.Mutex
 	revision uint64
--- a/pkg/platform/remote.go
+++ b/pkg/platform/remote.go
@@ -11,14 +11,15 @@
 	"github.com/buckthornshore/buckthornshore/rpc/platformpb"
 )
 
-// Remote speaks to the platform over Twirp.
+// Remote is a Service that calls the platform over Twirp.
 type Remote struct {
 	client platformpb.Platform
 	caller string
 }
 
-// NewRemote returns the platform at a base URL such as http://127.0.0.1:7000.
-// caller names the VM and its data centre, for the platform's own books.
+// NewRemote returns a client for the platform at a base URL such as
+// http://127.0.0.1:7000. caller identifies the VM and its data centre in the
+// platform's own records.
 func NewRemote(baseURL, caller string, client *http.Client) *Remote {
 	return &Remote{client: platformpb.NewPlatformProtobufClient(baseURL, client), caller: caller}
 }
@@ -27,14 +28,15 @@
 func (r *Remote) Scan(ctx context.Context, prefix string, since uint64) ([]Row, uint64, error) {
 	resp, err := r.client.Scan(ctx, &platformpb.ScanRequest{Prefix: prefix, Since: since, Caller: r.caller})
 	if err != nil {
-		return nil, 0, unavailable(err)
+		return nil, 0, markUnavailable(err)
 	}
-	return rowsFrom(resp.Rows), resp.Revision, nil
+	return rowsFromProto(resp.Rows), resp.Revision, nil
 }
 
-// Commit implements Table. A failed call counts as unknown: the request may have
-// been applied before the connection broke. Only a connection that could not be
-// opened certainly carried nothing.
+// Commit implements Table. A failed call returns ErrUnknown, because the request
+// may have been applied before the connection failed. Only if no connection could
+// be opened was the request certainly not sent; the call then returns
+// ErrUnavailable.
 func (r *Remote) Commit(ctx context.Context, txn Txn) (Outcome, error) {
 	req := &platformpb.CommitRequest{Caller: r.caller}
 	for _, c := range txn.Conditions {
@@ -45,22 +47,22 @@
 	}
 	resp, err := r.client.Commit(ctx, req)
 	if err != nil {
-		return Outcome{}, errors.Mark(errors.Wrap(err, "commit"), lostOrUnsent(err))
+		return Outcome{}, errors.Mark(errors.Wrap(err, "commit"), classifyCommitError(err))
 	}
-	return Outcome{Committed: resp.Committed, Revision: resp.Revision, Conflicts: rowsFrom(resp.Conflicts)}, nil
+	return Outcome{Committed: resp.Committed, Revision: resp.Revision, Conflicts: rowsFromProto(resp.Conflicts)}, nil
 }
 
 // Put implements Objects.
 func (r *Remote) Put(ctx context.Context, name string, blob []byte) error {
 	_, err := r.client.Put(ctx, &platformpb.PutRequest{Name: name, Blob: blob, Caller: r.caller})
-	return unavailable(err)
+	return markUnavailable(err)
 }
 
 // Get implements Objects.
 func (r *Remote) Get(ctx context.Context, name string) ([]byte, bool, error) {
 	resp, err := r.client.Get(ctx, &platformpb.GetRequest{Name: name, Caller: r.caller})
 	if err != nil {
-		return nil, false, unavailable(err)
+		return nil, false, markUnavailable(err)
 	}
 	return resp.Blob, resp.Found, nil
 }
@@ -69,7 +71,7 @@
 func (r *Remote) List(ctx context.Context) ([]topology.VM, error) {
 	resp, err := r.client.List(ctx, &platformpb.ListRequest{Caller: r.caller})
 	if err != nil {
-		return nil, unavailable(err)
+		return nil, markUnavailable(err)
 	}
 	vms := make([]topology.VM, 0, len(resp.Vms))
 	for _, vm := range resp.Vms {
@@ -81,13 +83,13 @@
 // Register implements VMs.
 func (r *Remote) Register(ctx context.Context, vm topology.VM) error {
 	_, err := r.client.Register(ctx, &platformpb.RegisterRequest{Vm: VMToProto(vm)})
-	return unavailable(err)
+	return markUnavailable(err)
 }
 
-// lostOrUnsent tells a commit that was never sent from one that may have been
-// applied. The client gives every other error the same form, so the dial is the
-// one place that tells.
-func lostOrUnsent(err error) error {
+// classifyCommitError returns ErrUnavailable for a commit that was never sent, and
+// ErrUnknown for one that may have been applied. The client reports all other
+// errors in the same form, so only a dial error shows that nothing was sent.
+func classifyCommitError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return ErrUnavailable
@@ -95,14 +97,14 @@
 	return ErrUnknown
 }
 
-func unavailable(err error) error {
+func markUnavailable(err error) error {
 	if err == nil {
 		return nil
 	}
 	return errors.Mark(err, ErrUnavailable)
 }
 
-func rowsFrom(rows []*platformpb.Row) []Row {
+func rowsFromProto(rows []*platformpb.Row) []Row {
 	out := make([]Row, 0, len(rows))
 	for _, r := range rows {
 		out = append(out, Row{Key: r.Key, Value: r.Value, Revision: r.Revision, Deleted: r.Deleted})
@@ -110,7 +112,7 @@
 	return out
 }
 
-// VMFromProto reads a VM from its message.
+// VMFromProto converts a protobuf message to a VM.
 func VMFromProto(vm *platformpb.VM) topology.VM {
 	return topology.VM{
 		ID:          topology.VMID(vm.Id),
@@ -122,7 +124,7 @@
 	}
 }
 
-// VMToProto writes a VM to its message.
+// VMToProto converts a VM to its protobuf message.
 func VMToProto(vm topology.VM) *platformpb.VM {
 	return &platformpb.VM{
 		Id:          string(vm.ID),
--- a/pkg/platform/remote_test.go
+++ b/pkg/platform/remote_test.go
@@ -26,10 +26,10 @@
 		return err
 	}
 
-	// The platform's process is gone, and the connection refused: the commit was
-	// never sent, so its writer may give it up at once. Counted as unknown, a
-	// promoter would keep its withdrawal, and callers' writes would stay refused.
-	It("was not sent when no connection could be opened", func() {
+	// The platform's process is down and the connection is refused: the commit was
+	// never sent, so its writer may abandon it at once. If it counted as unknown, a
+	// promoter would keep its withdrawal and callers' writes would stay refused.
+	It("returns ErrUnavailable when no connection could be opened", func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		url := "http://" + l.Addr().String()
@@ -39,9 +39,9 @@
 		Expect(errors.Is(err, platform.ErrUnknown)).To(BeFalse())
 	})
 
-	// The connection was open and the answer did not come: the commit may have
-	// taken effect, so its writer has to try the same one again.
-	It("is unknown once it may have been sent", func() {
+	// The connection was open and no answer arrived: the commit may have taken
+	// effect, so its writer has to retry the same commit.
+	It("returns ErrUnknown once the commit may have been sent", func() {
 		release := make(chan struct{})
 		server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
 		defer server.Close()
--- a/pkg/session/floors.go
+++ b/pkg/session/floors.go
@@ -10,35 +10,37 @@
 )
 
 // Floors holds, per group, the position of a session's last acknowledged
-// write. The zero value is ready. Not safe for concurrent use.
+// write. The zero value is ready to use. Floors is not safe for concurrent use.
 //
-// The last position of an earlier term is kept until a group row has told
-// whether it survived. Without it a loss would go unseen when the session wrote
-// in term 1, the write was lost, and its next write in term 2 raised the floor.
+// The last position of an earlier term is kept until a group row shows whether
+// it survived. Otherwise a loss would go undetected when a session's write in
+// term 1 is lost and its next write, in term 2, raises the floor.
 type Floors struct {
-	// groups maps to ascending positions, one a term; the last is the floor.
+	// groups maps each group to its positions in ascending order, one per term. The
+	// last one is the floor.
 	groups map[topology.GroupID][]position.Position
 }
 
 // Floor returns the position that a read of the group must see.
 func (f *Floors) Floor(group topology.GroupID) position.Position {
-	marks := f.groups[group]
-	if len(marks) == 0 {
+	positions := f.groups[group]
+	if len(positions) == 0 {
 		return position.Position{}
 	}
-	return marks[len(marks)-1]
+	return positions[len(positions)-1]
 }
 
 // Len returns the number of positions held.
 func (f *Floors) Len() int {
 	n := 0
-	for _, marks := range f.groups {
-		n += len(marks)
+	for _, positions := range f.groups {
+		n += len(positions)
 	}
 	return n
 }
 
-// Raise notes a write acknowledged at p. Completions may arrive in any order.
+// Raise records a write that was acknowledged at p. Acknowledgements may be
+// recorded in any order.
 func (f *Floors) Raise(group topology.GroupID, p position.Position) {
 	if p.IsZero() {
 		return
@@ -47,41 +49,43 @@
 		f.groups = make(map[topology.GroupID][]position.Position)
 	}
 	before := f.Floor(group)
-	f.groups[group] = insertMark(f.groups[group], p)
+	f.groups[group] = insertPosition(f.groups[group], p)
 	invariant.Check(!f.Floor(group).Less(before), "floor of %s fell from %v", group, before)
 }
 
-// insertMark keeps the highest position of each term, terms ascending.
-func insertMark(marks []position.Position, p position.Position) []position.Position {
-	i := sort.Search(len(marks), func(i int) bool { return marks[i].Term >= p.Term })
-	if i < len(marks) && marks[i].Term == p.Term {
-		marks[i] = position.Max(marks[i], p)
-		return marks
+// insertPosition inserts p into positions, in ascending order, keeping only the highest
+// position of each term.
+func insertPosition(positions []position.Position, p position.Position) []position.Position {
+	i := sort.Search(len(positions), func(i int) bool { return positions[i].Term >= p.Term })
+	if i < len(positions) && positions[i].Term == p.Term {
+		positions[i] = position.Max(positions[i], p)
+		return positions
 	}
-	marks = append(marks, position.Position{})
-	copy(marks[i+1:], marks[i:])
-	marks[i] = p
-	return marks
+	positions = append(positions, position.Position{})
+	copy(positions[i+1:], positions[i:])
+	positions[i] = p
+	return positions
 }
 
-// Settle compares the group's floor with the history of its row, to be done
-// before each use of the floor. A write after the end of its term is lost: it is
-// reported once as WriteLost and the floor falls to the end of that term.
+// Settle compares the group's positions with the history in its row. It must be
+// called before each use of the floor. A write after the end of its term is lost:
+// it is reported once as WriteLost and its position is lowered to the end of that
+// term.
 func (f *Floors) Settle(g *topology.Group) error {
-	marks := f.groups[g.ID]
-	if len(marks) == 0 {
+	positions := f.groups[g.ID]
+	if len(positions) == 0 {
 		return nil
 	}
-	floor := marks[len(marks)-1]
-	kept := make([]position.Position, 0, len(marks))
+	floor := positions[len(positions)-1]
+	kept := make([]position.Position, 0, len(positions))
 	var lost []position.Position
-	for _, p := range marks {
+	for _, p := range positions {
 		switch {
 		case g.Lost(p):
 			lost = append(lost, p)
-			kept = insertMark(kept, termEnd(g, p.Term))
+			kept = insertPosition(kept, termEnd(g, p.Term))
 		case p.Term < g.Term && p != floor:
-			// It survived and a later position covers it.
+			// p survived, and the floor covers it.
 		default:
 			kept = append(kept, p)
 		}
@@ -93,7 +97,7 @@
 	return result.New(result.WriteLost, "group %s term %d lost the write at %v", g.ID, g.Term, lost[0])
 }
 
-// termEnd returns the last surviving position of a term listed in the history.
+// termEnd returns the last surviving position of a term in the history.
 func termEnd(g *topology.Group, term uint64) position.Position {
 	for _, h := range g.History {
 		if h.Term == term {
@@ -103,9 +107,9 @@
 	return position.Position{}
 }
 
-// Prune drops the floors that every target of their group holds, as lowest
-// tells: no target can be behind such a floor and no promotion can lose it. It
-// reports false when the lowest position of a group is not known.
+// Prune drops the floors that every target of their group has reached: no target
+// can be behind such a floor, and no promotion can lose it. lowest returns the
+// lowest position of a group's targets, or false if it is not known.
 func (f *Floors) Prune(lowest func(topology.GroupID) (position.Position, bool)) {
 	for group := range f.groups {
 		low, ok := lowest(group)
@@ -119,20 +123,20 @@
 	}
 }
 
-// merge raises the floors to those of other.
+// merge adds the positions of other.
 func (f *Floors) merge(other *Floors) {
-	for group, marks := range other.groups {
-		for _, p := range marks {
+	for group, positions := range other.groups {
+		for _, p := range positions {
 			f.Raise(group, p)
 		}
 	}
 }
 
-// sortedGroups returns the groups that have a floor, in order.
+// sortedGroups returns the groups that have a floor, in ascending order.
 func (f *Floors) sortedGroups() []topology.GroupID {
 	groups := make([]topology.GroupID, 0, len(f.groups))
-	for g, marks := range f.groups {
-		if len(marks) > 0 {
+	for g, positions := range f.groups {
+		if len(positions) > 0 {
 			groups = append(groups, g)
 		}
 	}
--- a/pkg/session/session.go
+++ b/pkg/session/session.go
@@ -1,6 +1,7 @@
-// Package session holds what a session must see again: the position of its last
-// acknowledged write in each group, and the signed token that carries these
-// floors from one entry to the next.
+// Package session implements the read-your-writes state of a session: its floors,
+// which are the positions of its last acknowledged write in each group, and the
+// signed token that carries them from one entry (the VM that a caller connects
+// to) to the next.
 //
 // It does no I/O and is not safe for concurrent use.
 package session
@@ -11,41 +12,43 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Mode says where a session's floor is known.
+// Mode determines where the floors of a session are known.
 type Mode int
 
-// The modes of a connection.
+// The modes of a session.
 const (
-	// Anonymous: the session is the connection, so its floor is known exactly.
+	// Anonymous is the mode of a session that consists of one connection, so its
+	// floors are known exactly.
 	Anonymous Mode = iota
-	// WithToken: the caller brings the floors, and gets them anew on each write.
+	// WithToken is the mode of a session whose caller presents the floors in a token
+	// and gets a new token after each write.
 	WithToken
-	// Roaming: the session has an id but no token. It may have written through
-	// another entry, so each read needs a floor fetch that began after the read
-	// arrived.
+	// Roaming is the mode of a session with an id but no token. It may have written
+	// through another entry, so each read needs a floor fetch that began after the
+	// read arrived.
 	Roaming
 )
 
-// NewToken is the token option of a session that wants its first token.
+// NewToken is the value of the token option that requests a session's first token.
 const NewToken = "new"
 
-// Session is one caller's session as its entry sees it.
+// Session is the state that an entry keeps for one caller's session.
 type Session struct {
 	ID     string
 	Mode   Mode
 	Floors Floors
 }
 
-// Floor is what a read has to see.
+// Floor is the position that a read has to see.
 type Floor struct {
 	Position position.Position
-	// Fetch: the position is a lower bound only; the read waits for a floor
-	// fetch that begins after it arrived.
+	// Fetch is set if Position is only a lower bound. The read then has to wait for
+	// a floor fetch that begins after the read arrived.
 	Fetch bool
 }
 
-// Open starts a session from the options of a connection: id is empty for an
-// anonymous one; token is empty, NewToken or a token of the same session.
+// Open starts a session from the options of a connection. id is empty for an
+// anonymous session; token is empty, NewToken or a token of the same session.
 func Open(id, token string, ring *KeyRing) (*Session, error) {
 	if id == "" {
 		if token != "" {
@@ -67,7 +70,7 @@
 	return s, s.Present(token, ring)
 }
 
-// Present takes over the floors of a token that the caller brings.
+// Present verifies a token that the caller presents and merges its floors.
 func (s *Session) Present(token string, ring *KeyRing) error {
 	t, err := ring.Decode(token, s.ID)
 	if err != nil {
@@ -78,13 +81,14 @@
 	return nil
 }
 
-// Token returns the session's present token, to be sent after each write.
+// Token returns a new token with the session's current floors, to be sent to the
+// caller after each write. version is the version of the configuration.
 func (s *Session) Token(ring *KeyRing, version uint64) (string, error) {
 	return ring.Encode(&Token{Session: s.ID, IssuedAtVersion: version, Floors: s.Floors})
 }
 
-// ReadFloor returns what a read of the group must see. It fails with WriteLost,
-// once for each loss, when a write of the session is missing from the group.
+// ReadFloor returns the floor for a read of the group. If the group has lost
+// writes of the session, it fails with WriteLost, once for each loss.
 func (s *Session) ReadFloor(g *topology.Group) (Floor, error) {
 	if err := s.Floors.Settle(g); err != nil {
 		return Floor{}, err
@@ -92,7 +96,7 @@
 	return Floor{Position: s.Floors.Floor(g.ID), Fetch: s.Mode == Roaming}, nil
 }
 
-// Acknowledged notes that a write of the session was acknowledged at p.
+// Acknowledged records that a write of the session was acknowledged at p.
 func (s *Session) Acknowledged(group topology.GroupID, p position.Position) {
 	s.Floors.Raise(group, p)
 }
--- a/pkg/session/session_test.go
+++ b/pkg/session/session_test.go
@@ -39,7 +39,7 @@
 func at(term, index uint64) position.Position { return position.Position{Term: term, Index: index} }
 
 var _ = Describe("Token", func() {
-	It("brings every floor to the next entry", func() {
+	It("carries every floor to the next entry", func() {
 		r := ring(1, 1)
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			s, _ := session.Open("clerk", session.NewToken, r)
@@ -57,12 +57,12 @@
 			}
 			again, _ := next.Token(r, 7)
 			if again != token {
-				t.Fatalf("the floors changed on the way")
+				t.Fatalf("the floors differ after decoding and encoding the token")
 			}
 		})
 	})
 
-	It("refuses a token of another session, a forged one and a broken one", func() {
+	It("refuses a token of another session, a forged token and a malformed token", func() {
 		r := ring(1, 1)
 		s, _ := session.Open("clerk", session.NewToken, r)
 		s.Acknowledged("quota/1", at(1, 5))
@@ -79,10 +79,10 @@
 		Expect(code("clerk", token[:20], r)).To(Equal(result.BadToken))
 		Expect(code("", token, r)).To(Equal(result.BadOption))
 		_, err = session.Open("clerk", token, ring(2, 1, 2))
-		Expect(err).NotTo(HaveOccurred(), "a rotated ring still reads it")
+		Expect(err).NotTo(HaveOccurred(), "a token signed with the previous key stays valid after a rotation")
 	})
 
-	It("fails rather than leave out a floor, and drops those that every target holds", func() {
+	It("fails to encode more than MaxFloors floors, and succeeds after Prune drops one that every target has reached", func() {
 		r := ring(1, 1)
 		s, _ := session.Open("clerk", session.NewToken, r)
 		for i := range session.MaxFloors + 1 {
@@ -97,10 +97,10 @@
 })
 
 var _ = Describe("Floors", func() {
-	// A clerk writes at 1/100 and is acknowledged; the primary dies and the next
-	// one holds only 1/90. The clerk's next read is told that a write was lost,
-	// once; from then on it must see what survived. A write in term 2 that comes
-	// before that read must not hide the loss.
+	// A session's write is acknowledged at 1/100; the primary dies, and the new
+	// primary holds only 1/90. The session's next read must fail once with WriteLost,
+	// and later reads must see what survived. A write in term 2 before that read must
+	// not hide the loss.
 	DescribeTable("report a lost write once", func(writesBefore bool, floor position.Position) {
 		s, _ := session.Open("", "", nil)
 		g := &topology.Group{ID: "quota/1", Term: 2, History: []topology.TermEnd{{Term: 1, End: at(1, 90)}}}
@@ -114,11 +114,11 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(f).To(Equal(session.Floor{Position: floor}))
 	},
-		Entry("then lower the floor", false, at(1, 90)),
-		Entry("though a later write raised the floor", true, at(2, 95)),
+		Entry("and then lower the floor", false, at(1, 90)),
+		Entry("even if a later write raised the floor", true, at(2, 95)),
 	)
 
-	It("ask for a fetch when the session roams without a token", func() {
+	It("require a fetch when the session has an id but no token", func() {
 		s, _ := session.Open("clerk", "", nil)
 		Expect(s.ReadFloor(&topology.Group{ID: "quota/1"})).To(Equal(session.Floor{Fetch: true}))
 	})
--- a/pkg/session/token.go
+++ b/pkg/session/token.go
@@ -11,8 +11,8 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Bounds of a token. A caller echoes it in each start-up message, so it must
-// stay small; sizes are in bytes.
+// Limits of a token; lengths are in bytes. A caller sends its token back in each
+// start-up message, so it must stay small.
 const (
 	MaxFloors        = 64
 	MaxGroupLength   = 128
@@ -28,13 +28,13 @@
 // Token carries the floors of a session.
 type Token struct {
 	Session string
-	// IssuedAtVersion is the version of the configuration at the issue.
+	// IssuedAtVersion is the version of the configuration when the token was issued.
 	IssuedAtVersion uint64
 	Floors          Floors
 }
 
-// Encode signs the token. It fails with BadToken rather
-// than leave out a floor: without it a later read could miss the session's write.
+// Encode returns the signed and encoded token. It fails with BadToken rather than
+// omit a floor: without the floor a later read could miss the session's write.
 func (r *KeyRing) Encode(t *Token) (string, error) {
 	if n := t.Floors.Len(); n > MaxFloors {
 		return "", result.New(result.BadToken, "%d floors, at most %d fit a token", n, MaxFloors)
@@ -64,16 +64,16 @@
 	return append(b, s...)
 }
 
-// Decode verifies a token of the given session. A token that can't be read or
-// is another session's is BadToken; one that no key of the ring signed is
-// TokenForged.
+// Decode verifies and decodes a token of the given session. It fails with BadToken
+// for a malformed token or a token of another session, and with TokenForged for a
+// token that was not signed with a key of the ring.
 func (r *KeyRing) Decode(encoded, session string) (*Token, error) {
 	if len(encoded) > MaxTokenLength {
 		return nil, result.New(result.BadToken, "longer than %d bytes", MaxTokenLength)
 	}
 	raw, err := base64.RawURLEncoding.Strict().DecodeString(encoded)
-	// The decoder skips line breaks: without the check one token would have many
-	// spellings, some of which break a log line.
+	// The decoder skips line breaks. Without this check, one token would have many
+	// valid encodings, some of which would break a log line.
 	if err != nil || strings.ContainsAny(encoded, "\r\n") {
 		return nil, result.New(result.BadToken, "not base64url")
 	}
@@ -81,8 +81,8 @@
 		return nil, result.New(result.BadToken, "not a token of format %d", tokenFormat)
 	}
 	body, signature := raw[:len(raw)-sha256.Size], raw[len(raw)-sha256.Size:]
-	// The signature comes before the parser sees a byte, so that a forger can't
-	// reach it.
+	// The signature is verified before anything is parsed, so that forged input
+	// never reaches the parser.
 	if !r.verify(body, signature, KeyID(body[1])) {
 		return nil, result.New(result.TokenForged, "key %d did not sign it", body[1])
 	}
@@ -98,25 +98,25 @@
 
 func parseToken(body []byte) (*Token, bool) {
 	p := parser{rest: body}
-	t := &Token{Session: p.text(MaxSessionLength), IssuedAtVersion: p.number()}
-	count := p.number()
+	t := &Token{Session: p.text(MaxSessionLength), IssuedAtVersion: p.uvarint()}
+	count := p.uvarint()
 	if p.failed || count > MaxFloors {
 		return nil, false
 	}
 	for range count {
 		group := topology.GroupID(p.text(MaxGroupLength))
-		t.Floors.Raise(group, position.Position{Term: p.number(), Index: p.number()})
+		t.Floors.Raise(group, position.Position{Term: p.uvarint(), Index: p.uvarint()})
 	}
 	return t, !p.failed && len(p.rest) == 0
 }
 
-// parser reads fields; after a failure it returns zero values.
+// parser reads the fields of a token. After a failure it returns zero values.
 type parser struct {
 	rest   []byte
 	failed bool
 }
 
-func (p *parser) number() uint64 {
+func (p *parser) uvarint() uint64 {
 	v, n := binary.Uvarint(p.rest)
 	if n <= 0 {
 		p.fail()
@@ -127,7 +127,7 @@
 }
 
 func (p *parser) text(limit int) string {
-	n := p.number()
+	n := p.uvarint()
 	if n > uint64(limit) || n > uint64(len(p.rest)) {
 		p.fail()
 		return ""
