--- a/pkg/retry/retry_test.go
+++ b/pkg/retry/retry_test.go
@@ -37,7 +37,7 @@
 	// Any number of answers may be lost, in any order. A payment may then have been
 	// recorded, so whatever the result code, an attempt that may have run must not
 	// be retried, and the final answer must not claim that nothing ran.
-	It("never retries an attempt that may have run, for a class that may not run twice", func() {
+	It("never makes a second possibly-run attempt of a class that may not run twice", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			class := retry.Class{Name: "payment", Ledger: rapid.Bool().Draw(t, "ledger")}
 			if !class.Ledger {
--- a/pkg/session/session_test.go
+++ b/pkg/session/session_test.go
@@ -39,7 +39,7 @@
 func at(term, index uint64) position.Position { return position.Position{Term: term, Index: index} }
 
 var _ = Describe("Token", func() {
-	It("carries every floor to the next entry", func() {
+	It("brings every floor to the next entry", func() {
 		r := ring(1, 1)
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			s, _ := session.Open("clerk", session.NewToken, r)
