--- a/internal/entry/route.go
+++ b/internal/entry/route.go
@@ -53,7 +53,7 @@
 		if reached >= req.class.MaxAttempts {
 			return nil, final(failure, req)
 		}
-		outcome := retry.Outcome{Attempt: attemptsThatCount(req, failure, attempt, reached), Err: failure, Member: s.options.member}
+		outcome := retry.FailedAttempt{Attempt: attemptsThatCount(req, failure, attempt, reached), Err: failure, Member: s.options.member}
 		decision := s.server.router.next(policy, outcome, retryClass(req.class), deadline)
 		if decision.Err != nil {
 			return nil, decision.Err
--- a/internal/entry/router.go
+++ b/internal/entry/router.go
@@ -236,7 +236,7 @@
 }
 
 // next decides what follows a failed attempt.
-func (r *router) next(p retry.Policy, o retry.Outcome, class retry.Class, deadline mono.Time) retry.Decision {
+func (r *router) next(p retry.Policy, o retry.FailedAttempt, class retry.Class, deadline mono.Time) retry.Decision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return p.Next(o, class, r.budgets, r.clock.Now(), deadline, r.random)
--- a/internal/entry/session.go
+++ b/internal/entry/session.go
@@ -135,7 +135,7 @@
 			return failure
 		}
 	case "token":
-		if err := s.session.Present(value, s.server.o.Keys); err != nil {
+		if err := s.session.MergeToken(value, s.server.o.Keys); err != nil {
 			return result.From(err)
 		}
 	case "session":
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -369,7 +369,7 @@
 	if row == nil {
 		return
 	}
-	if err := r.floors.Settle(row.Topology()); err != nil {
+	if err := r.floors.Reconcile(row.Topology()); err != nil {
 		// The caller was told of the failover by its own requests; what is lost is
 		// lost, and the session's reads go on from what survived.
 		r.server.Log.Warn("event=write_lost", "session", r.number, "group", r.class.Group, "term", row.Term, "error", err)
--- a/internal/view/members.go
+++ b/internal/view/members.go
@@ -79,7 +79,7 @@
 func (v *View) HeardWithin(id topology.VMID, d time.Duration) bool {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	at, ok := v.members.Heard(id)
+	at, ok := v.members.LastSeen(id)
 	return ok && v.clock.Now().Sub(at) <= d
 }
 
--- a/pkg/membership/table.go
+++ b/pkg/membership/table.go
@@ -153,9 +153,9 @@
 	return e.Status, true
 }
 
-// Heard returns when the last sign of life of a VM arrived, and false if there
+// LastSeen returns when the last sign of life of a VM arrived, and false if there
 // was none.
-func (t *Table) Heard(id topology.VMID) (mono.Time, bool) {
+func (t *Table) LastSeen(id topology.VMID) (mono.Time, bool) {
 	e, ok := t.entries[id]
 	if !ok || !e.seenAlive {
 		return 0, false
--- a/pkg/retry/retry.go
+++ b/pkg/retry/retry.go
@@ -30,8 +30,8 @@
 // idempotent reports whether the class may be sent again after an unknown outcome.
 func (c *Class) idempotent() bool { return c.Read || c.Repeatable && c.Ledger }
 
-// Outcome is a failed attempt.
-type Outcome struct {
+// FailedAttempt describes a failed attempt of a request.
+type FailedAttempt struct {
 	// Attempt numbers the attempts of the request from 1.
 	Attempt int
 	Err     *result.Error
@@ -78,7 +78,7 @@
 // Next decides how to proceed after a failed attempt. A retry is only chosen if it
 // is expected to end by the deadline; otherwise the caller gets the final answer
 // immediately rather than at the deadline.
-func (p Policy) Next(o Outcome, class Class, budgets *Budgets, now, deadline mono.Time, random Random) Decision {
+func (p Policy) Next(o FailedAttempt, class Class, budgets *Budgets, now, deadline mono.Time, random Random) Decision {
 	if o.Err.Ran == result.Unknown && !class.idempotent() {
 		return Decision{Err: unknownOutcome(o.Err)}
 	}
--- a/pkg/retry/retry_test.go
+++ b/pkg/retry/retry_test.go
@@ -48,7 +48,7 @@
 			now, deadline := mono.Time(0), mono.Time(rapid.IntRange(1, 5000).Draw(t, "deadline"))*ms
 			for attempt := 1; ; attempt++ {
 				e := drawFailure(t)
-				d := policy.Next(retry.Outcome{Attempt: attempt, Err: e, Member: "m"}, class, budgets, now, deadline, random)
+				d := policy.Next(retry.FailedAttempt{Attempt: attempt, Err: e, Member: "m"}, class, budgets, now, deadline, random)
 				if d.Err == nil {
 					if e.Ran != result.NotRun {
 						t.Fatalf("retried after %v", e)
@@ -68,7 +68,7 @@
 
 	DescribeTable("decides by the class and the failure", func(class retry.Class, code result.Code, again bool, final result.Code) {
 		random := rand.New(rand.NewPCG(1, 1))
-		d := retry.DefaultPolicy().Next(retry.Outcome{Attempt: 1, Err: result.New(code, ""), Member: "m"}, class, retry.NewBudgets(1, 1), 0, 1000*ms, random)
+		d := retry.DefaultPolicy().Next(retry.FailedAttempt{Attempt: 1, Err: result.New(code, ""), Member: "m"}, class, retry.NewBudgets(1, 1), 0, 1000*ms, random)
 		Expect(d.Err == nil).To(Equal(again))
 		if !again {
 			Expect(d.Err.Code).To(Equal(final))
@@ -89,7 +89,7 @@
 		random := rand.New(rand.NewPCG(1, 1))
 		budgets := retry.NewBudgets(1, 1)
 		next := func(code result.Code, deadline mono.Time) retry.Decision {
-			return retry.DefaultPolicy().Next(retry.Outcome{Attempt: 1, Err: result.New(code, ""), Member: "m"}, retry.Class{}, budgets, 0, deadline, random)
+			return retry.DefaultPolicy().Next(retry.FailedAttempt{Attempt: 1, Err: result.New(code, ""), Member: "m"}, retry.Class{}, budgets, 0, deadline, random)
 		}
 		Expect(next(result.ConnectionsInUse, 5*ms).Err).To(And(HaveField("Code", result.ConnectionsInUse), HaveField("RetryAfter", 5*time.Millisecond)))
 		Expect(next(result.ConnectionsInUse, 1000*ms).Err).To(BeNil())
@@ -117,7 +117,7 @@
 		for arrived := mono.Time(0); arrived < gap; arrived += 2 * ms {
 			now := arrived
 			for attempt := 1; now < gap; attempt++ {
-				o := retry.Outcome{Attempt: attempt, Err: result.New(result.NoPrimary, ""), Member: "m"}
+				o := retry.FailedAttempt{Attempt: attempt, Err: result.New(result.NoPrimary, ""), Member: "m"}
 				d := policy.Next(o, retry.Class{Name: "confirm"}, budgets, now, arrived+5000*ms, random)
 				Expect(d.Err).To(BeNil(), "attempt %d at %v of a request of %v", attempt, now.Sub(0), arrived.Sub(0))
 				now = now.Add(d.After)
@@ -137,7 +137,7 @@
 func BenchmarkNext(b *testing.B) {
 	random := rand.New(rand.NewPCG(1, 1))
 	budgets, policy := retry.NewBudgets(1e9, 1e9), retry.DefaultPolicy()
-	o := retry.Outcome{Attempt: 3, Err: result.New(result.NoRight, ""), Member: "m"}
+	o := retry.FailedAttempt{Attempt: 3, Err: result.New(result.NoRight, ""), Member: "m"}
 	b.ReportAllocs()
 	for b.Loop() {
 		policy.Next(o, retry.Class{Name: "c"}, budgets, 0, 1000*ms, random)
--- a/pkg/session/floors.go
+++ b/pkg/session/floors.go
@@ -67,11 +67,11 @@
 	return positions
 }
 
-// Settle compares the group's positions with the history in its row. It must be
+// Reconcile compares the group's positions with the history in its row. It must be
 // called before each use of the floor. A write after the end of its term is lost:
 // it is reported once as WriteLost and its position is lowered to the end of that
 // term.
-func (f *Floors) Settle(g *topology.Group) error {
+func (f *Floors) Reconcile(g *topology.Group) error {
 	positions := f.groups[g.ID]
 	if len(positions) == 0 {
 		return nil
--- a/pkg/session/session.go
+++ b/pkg/session/session.go
@@ -67,11 +67,12 @@
 	if token == NewToken {
 		return s, nil
 	}
-	return s, s.Present(token, ring)
+	return s, s.MergeToken(token, ring)
 }
 
-// Present verifies a token that the caller presents and merges its floors.
-func (s *Session) Present(token string, ring *KeyRing) error {
+// MergeToken verifies a token that the caller presents and merges its floors. The
+// mode of the session becomes WithToken.
+func (s *Session) MergeToken(token string, ring *KeyRing) error {
 	t, err := ring.Decode(token, s.ID)
 	if err != nil {
 		return err
@@ -90,7 +91,7 @@
 // ReadFloor returns the floor for a read of the group. If the group has lost
 // writes of the session, it fails with WriteLost, once for each loss.
 func (s *Session) ReadFloor(g *topology.Group) (Floor, error) {
-	if err := s.Floors.Settle(g); err != nil {
+	if err := s.Floors.Reconcile(g); err != nil {
 		return Floor{}, err
 	}
 	return Floor{Position: s.Floors.Floor(g.ID), Fetch: s.Mode == Roaming}, nil
