--- a/pkg/membership/list.go
+++ b/pkg/membership/list.go
@@ -49,10 +49,10 @@
 	return e.updateState(now) || restarted
 }
 
-// observeUnlisted updates the state of a VM that is missing from the list. A VM known
-// only from an earlier list is dead. One with a fresh sign of life is newer than
-// the list and keeps its state. A live one whose last sign of life is older becomes
-// suspect, so that it is probed.
+// observeUnlisted updates the state of a VM that is missing from the list. A VM
+// known only from an earlier list is dead. One with a fresh sign of life is newer
+// than the list and keeps its state. A live one whose last sign of life is older
+// becomes suspect, so that it is probed.
 func (e *entry) observeUnlisted(now mono.Time) bool {
 	switch {
 	case !e.seenAlive:
--- a/pkg/membership/table.go
+++ b/pkg/membership/table.go
@@ -47,8 +47,8 @@
 const (
 	// Live is a VM that answers, or that is listed and has no failed attempts.
 	Live State = iota + 1
-	// Suspect is a VM to which an attempt failed after its last sign of life. It
-	// has to be probed.
+	// Suspect is a VM to which an attempt failed after its last sign of life, or
+	// that is no longer listed and gave no recent sign of life. It has to be probed.
 	Suspect
 	// Dead is a VM to which attempts failed for SilenceToDead or RefusedToDead, or
 	// a VM known only from an earlier list that is no longer listed.
@@ -208,8 +208,8 @@
 	return e
 }
 
-// signOfLife applies a sign of life. One from an earlier incarnation is a late message
-// of a process that has ended, and no evidence about the current process.
+// signOfLife applies a sign of life. One from an earlier incarnation is a late
+// message of a process that has ended, and no evidence about the current process.
 func (e *entry) signOfLife(ev Evidence) bool {
 	if ev.VM.Incarnation < e.VM.Incarnation {
 		return false
--- a/pkg/session/floors.go
+++ b/pkg/session/floors.go
@@ -67,10 +67,10 @@
 	return positions
 }
 
-// Reconcile compares the group's positions with the history in its row. It must be
-// called before each use of the floor. A write after the end of its term is lost:
-// it is reported once as WriteLost and its position is lowered to the end of that
-// term.
+// Reconcile compares the group's positions with the history in its row. It must
+// be called before each use of the floor. A write after the end of its term is
+// lost: it is reported once as WriteLost and its position is lowered to the end of
+// that term.
 func (f *Floors) Reconcile(g *topology.Group) error {
 	positions := f.groups[g.ID]
 	if len(positions) == 0 {
