--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -376,7 +376,7 @@
 	if row == nil {
 		return
 	}
-	if err := r.floors.Settle(row.Topology()); err != nil {
+	if err := r.floors.Reconcile(row.Topology()); err != nil {
 		// The caller has learned of the failover from its own requests. Lost writes can't
 		// be recovered; the session's reads continue from those that survived.
 		r.server.Log.Warn("event=write_lost", "session", r.number, "group", r.class.Group, "term", row.Term, "error", err)
