--- a/internal/failover/actions.go
+++ b/internal/failover/actions.go
@@ -10,8 +10,8 @@
 	"github.com/buckthornshore/buckthornshore/rpc/peerpb"
 )
 
-// perform starts one action; holder tells which table asked. Actions on one
-// database run in their order, all others side by side.
+// perform starts one action. holder is false for actions of the promoter. Fences,
+// promotions and follows of one target run in order; all others run concurrently.
 func (d *Driver) perform(ctx context.Context, action authority.Action, holder bool) {
 	switch a := action.(type) {
 	case authority.SendHeartbeat:
@@ -25,11 +25,11 @@
 	case authority.ReadRow:
 		go d.readRow(ctx, a.Group)
 	case authority.FenceReplica:
-		d.lanes.run(a.Target, step{kind: "fence", do: func() { d.fence(ctx, a) }})
+		d.actionQueues.enqueue(a.Target, queuedAction{kind: "fence", do: func() { d.fence(ctx, a) }})
 	case authority.PromoteReplica:
-		d.lanes.run(a.Target, step{kind: "promote", do: func() { d.promote(ctx, a) }})
+		d.actionQueues.enqueue(a.Target, queuedAction{kind: "promote", do: func() { d.promote(ctx, a) }})
 	case authority.FollowPrimary:
-		d.lanes.run(a.Target, step{kind: "follow", do: func() { d.follow(ctx, a) }})
+		d.actionQueues.enqueue(a.Target, queuedAction{kind: "follow", do: func() { d.follow(ctx, a) }})
 	case authority.ReadReplica:
 		go d.readReplica(ctx, a)
 	case authority.PromotionBlocked:
@@ -45,14 +45,14 @@
 	}
 }
 
-// locked runs f on the tables with the present instant.
-func (d *Driver) locked(f func(now mono.Time)) {
+// withLock runs f with the lock on the tables held, and passes it the current time.
+func (d *Driver) withLock(f func(now mono.Time)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f(d.o.Clock.Now())
 }
 
-// peer returns the client of another VM; false while its address is not known.
+// peer returns the client of another VM, or false while its address is unknown.
 func (d *Driver) peer(id topology.VMID) (*peers.Client, bool) {
 	vm, ok := d.o.Directory.VM(id)
 	if !ok {
@@ -63,7 +63,7 @@
 
 func (d *Driver) heartbeat(ctx context.Context, a authority.SendHeartbeat) {
 	if a.To == d.o.Directory.Self().ID {
-		d.locked(func(now mono.Time) {
+		d.withLock(func(now mono.Time) {
 			d.holder.ObserveHeartbeat(a.To, d.promoter.HandleHeartbeat(a.Request, now), now)
 		})
 		return
@@ -74,16 +74,16 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	resp, err := peer.Heartbeat(ctx, heartbeatTo(a.Request))
+	resp, err := peer.Heartbeat(ctx, heartbeatToProto(a.Request))
 	if err != nil {
-		return // Silence counts by itself.
+		return // No report is needed: the holder acts on the absence of responses.
 	}
-	d.locked(func(now mono.Time) { d.holder.ObserveHeartbeat(a.To, heartbeatAnswerFrom(resp), now) })
+	d.withLock(func(now mono.Time) { d.holder.ObserveHeartbeat(a.To, heartbeatResponseFromProto(resp), now) })
 }
 
 func (d *Driver) withdraw(ctx context.Context, a authority.SendWithdraw, holder bool) {
 	if a.To == d.o.Directory.Self().ID {
-		d.locked(func(now mono.Time) {
+		d.withLock(func(now mono.Time) {
 			d.observeWithdraw(a.To, d.promoter.HandleWithdraw(a.Request, now), holder, now)
 		})
 		return
@@ -103,12 +103,12 @@
 	if err != nil {
 		return
 	}
-	answer := withdrawAnswerFrom(a.Request, resp)
-	d.locked(func(now mono.Time) { d.observeWithdraw(a.To, answer, holder, now) })
+	answer := withdrawResponseFromProto(a.Request, resp)
+	d.withLock(func(now mono.Time) { d.observeWithdraw(a.To, answer, holder, now) })
 }
 
-// observeWithdraw gives an answer to the table that asked; the caller holds the
-// lock.
+// observeWithdraw passes a response to the table that sent the request; the
+// caller holds the lock.
 func (d *Driver) observeWithdraw(from topology.VMID, answer authority.WithdrawResponse, holder bool, now mono.Time) {
 	if holder {
 		d.holder.ObserveWithdraw(answer, now)
@@ -119,7 +119,7 @@
 
 func (d *Driver) release(ctx context.Context, a authority.SendRelease) {
 	if a.To == d.o.Directory.Self().ID {
-		d.locked(func(now mono.Time) { d.promoter.ObserveRelease(a.To, d.holder.HandleRelease(a.Request, now)) })
+		d.withLock(func(now mono.Time) { d.promoter.ObserveRelease(a.To, d.holder.HandleRelease(a.Request, now)) })
 		return
 	}
 	peer, ok := d.peer(a.To)
@@ -137,7 +137,7 @@
 		return
 	}
 	answer := authority.ReleaseRightResponse{Group: a.Request.Group, Version: a.Request.Version, Released: resp.Released}
-	d.locked(func(mono.Time) { d.promoter.ObserveRelease(a.To, answer) })
+	d.withLock(func(mono.Time) { d.promoter.ObserveRelease(a.To, answer) })
 }
 
 func (d *Driver) askWitness(ctx context.Context, target topology.TargetID) {
@@ -151,7 +151,7 @@
 	if err != nil || !resp.Known {
 		return
 	}
-	d.locked(func(now mono.Time) { d.detector.ObserveWitness(target, resp.Reachable, now) })
+	d.withLock(func(now mono.Time) { d.detector.ObserveWitness(target, resp.Reachable, now) })
 }
 
 func (d *Driver) requestTakeOver(ctx context.Context, a authority.RequestSwitchover) {
--- a/internal/failover/assign.go
+++ b/internal/failover/assign.go
@@ -10,7 +10,8 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// assign works out which groups this VM holds and stands in.
+// assign updates the groups in which this VM is the holder or may promote a
+// replica.
 func (d *Driver) assign(ctx context.Context) {
 	parts := d.o.Directory.Parts()
 	d.mu.Lock()
@@ -19,31 +20,32 @@
 	present := map[topology.GroupID]bool{}
 	for _, part := range parts {
 		present[part.Group] = true
-		d.assignPart(ctx, d.withListed(part), now)
+		d.assignPart(ctx, d.withListedReplica(part), now)
 	}
 	for id := range d.parts {
 		if present[id] {
 			continue
 		}
-		if part := d.withListed(Part{Group: id}); len(part.Targets) > 0 {
+		if part := d.withListedReplica(Part{Group: id}); len(part.Targets) > 0 {
 			d.assignPart(ctx, part, now)
 			continue
 		}
 		d.dropPart(id)
 	}
-	d.forgetOthers()
+	d.unwatchOthers()
 }
 
-// listed returns the replica that the group's list has this VM for, or "".
-func (d *Driver) listed(id topology.GroupID) topology.TargetID {
+// listedReplica returns the replica for which the group's row lists this VM as a
+// promoter, or "".
+func (d *Driver) listedReplica(id topology.GroupID) topology.TargetID {
 	row := d.o.Directory.Group(id)
 	if row == nil {
 		return ""
 	}
-	return listedIn(row, d.o.Directory.Self())
+	return listedReplicaIn(row, d.o.Directory.Self())
 }
 
-func listedIn(row *topology.Group, self topology.VM) topology.TargetID {
+func listedReplicaIn(row *topology.Group, self topology.VM) topology.TargetID {
 	for _, e := range row.Promoters {
 		if e.VM == self.ID && e.Incarnation == self.Incarnation && e.Replica != row.Primary {
 			return e.Replica
@@ -52,27 +54,29 @@
 	return ""
 }
 
-// lists reports whether the row has this VM in its list, and has it take part in
-// the group from the next look on; the caller holds the lock.
+// joinIfListed reports whether the row lists this VM as a promoter. If so, this VM
+// takes part in the group from the next assignment on. The caller holds the lock.
 //
-// Failure: another VM died, and only the holder knows yet. It lists this VM in its
-// place, which promises when asked, but looks neither at the replica nor has it
-// follow a new primary, so no replica is synced and classes that wait are refused.
-func (d *Driver) lists(row *topology.Group) bool {
-	if listedIn(row, d.o.Directory.Self()) == "" {
+// Failure: another VM died, and only the holder knows yet. It lists this VM as the
+// replacement. This VM promises when asked, but neither polls the replica nor makes
+// it follow a new primary, so no replica is synced and requests of classes that
+// wait for replicas are refused.
+func (d *Driver) joinIfListed(row *topology.Group) bool {
+	if listedReplicaIn(row, d.o.Directory.Self()) == "" {
 		return false
 	}
 	d.parts[row.ID] = Part{Group: row.ID}
 	return true
 }
 
-// withListed adds the replica that the list has this VM for.
+// withListedReplica adds the replica for which the group's row lists this VM.
 //
-// Failure: another VM has come to pool the replica, and the primary dies before
-// the list says so. The one in the list looks away, the other one may not promote
-// yet, and callers' writes wait until a new list's promises have lapsed.
-func (d *Driver) withListed(part Part) Part {
-	replica := d.listed(part.Group)
+// Failure: another VM has become the pooler of the replica, and the primary dies
+// before the list is updated. The listed VM no longer watches the group, the new
+// pooler may not promote yet, and callers' writes wait until the promises of a new
+// list have lapsed.
+func (d *Driver) withListedReplica(part Part) Part {
+	replica := d.listedReplica(part.Group)
 	if replica == "" || slices.Contains(part.Targets, replica) {
 		return part
 	}
@@ -90,7 +94,7 @@
 	d.holder.ObserveRow(read, now)
 	d.promoter.ObserveRow(read, now)
 	d.watch(row.Primary, now)
-	if t := d.standsFor(part, row); t != "" {
+	if t := d.promotableReplica(part, row); t != "" {
 		d.promoter.Stand(part.Group, t)
 	}
 	if slices.Contains(part.Targets, row.Primary) {
@@ -103,10 +107,10 @@
 	d.logTerm(row)
 }
 
-// standsFor picks the replica that this VM speaks for: the one that the list has
-// it for, or else one that it pools.
-func (d *Driver) standsFor(part Part, row *topology.Group) topology.TargetID {
-	if replica := d.listed(part.Group); replica != "" {
+// promotableReplica returns the replica that this VM may promote: the one for
+// which the group's row lists it, or else one that it pools.
+func (d *Driver) promotableReplica(part Part, row *topology.Group) topology.TargetID {
+	if replica := d.listedReplica(part.Group); replica != "" {
 		return replica
 	}
 	for _, t := range part.Targets {
@@ -117,49 +121,52 @@
 	return ""
 }
 
-// heardLately is how old the sign of life of a VM may be that is to be listed.
-const heardLately = time.Second
+// maxHeardAge is the maximum age of the last sign of life of a VM that is to be
+// listed as a promoter.
+const maxHeardAge = time.Second
 
-// candidatesFor returns the poolers of the replicas. One that is not listed yet
-// must have been heard lately; until then the listed one stays.
+// candidatesFor returns the poolers of the replicas as candidates for the list of
+// promoters. A pooler that is not listed yet must have given a recent sign of life;
+// until then the listed one stays.
 //
-// Failure: a data centre was just cut off and its VMs still count as live. Listed,
-// they don't promise, and are replaced by each other in turn while the promises
-// of the versions before lapse: writes waited 2 s more.
+// Failure: a data centre was just cut off and its VMs still count as live. When
+// listed, they don't promise, and they replace each other in turn while the promises
+// of the previous versions lapse: writes waited 2 s longer.
 func (d *Driver) candidatesFor(ctx context.Context, row *topology.Group, all []topology.Promoter) []topology.Promoter {
 	list := []topology.Promoter{}
 	for _, p := range all {
 		if p.Replica == row.Primary {
 			continue
 		}
-		if d.known(row, p) {
+		if d.mayList(row, p) {
 			list = append(list, p)
 			continue
 		}
 		d.o.Doubt.Ask(ctx, p.VM)
 		list = append(list, entriesFor(row, p.Replica)...)
 	}
-	return onePerVM(list, d.beside)
+	return onePerVM(list, d.sameDataCentre)
 }
 
-// beside reports whether the entry's VM and replica share a data centre.
-func (d *Driver) beside(p topology.Promoter) bool {
+// sameDataCentre reports whether the entry's VM and replica share a data centre.
+func (d *Driver) sameDataCentre(p topology.Promoter) bool {
 	vm, known := d.o.Directory.VM(p.VM)
 	limits, listed := d.o.Directory.Target(p.Replica)
 	return known && listed && vm.DataCentre == limits.DataCentre
 }
 
-// onePerVM keeps one entry a VM, that for a replica beside it before others.
+// onePerVM keeps one entry per VM and prefers a replica in the VM's own data centre.
 //
-// Failure: a data centre is lost, and a VM elsewhere pools the replica there besides the
-// living one of its own. A list has one entry a VM; with the dead replica in it, and not the
-// living one, no replica was synced, and each write of a class that waits took four seconds.
-func onePerVM(list []topology.Promoter, beside func(topology.Promoter) bool) []topology.Promoter {
+// Failure: a data centre is lost, and a VM elsewhere pools the dead replica there in
+// addition to the live one in its own data centre. A list has one entry per VM; with the
+// dead replica in it instead of the live one, no replica was synced, and each write of a
+// class that waits for replicas took four seconds.
+func onePerVM(list []topology.Promoter, sameDataCentre func(topology.Promoter) bool) []topology.Promoter {
 	kept := []topology.Promoter{}
 	listed := map[topology.VMID]bool{}
-	for _, wanted := range []bool{true, false} {
+	for _, local := range []bool{true, false} {
 		for _, p := range list {
-			if beside(p) == wanted && !listed[p.VM] {
+			if sameDataCentre(p) == local && !listed[p.VM] {
 				listed[p.VM] = true
 				kept = append(kept, p)
 			}
@@ -168,8 +175,8 @@
 	return kept
 }
 
-func (d *Driver) known(row *topology.Group, p topology.Promoter) bool {
-	if p.VM == d.o.Directory.Self().ID || d.o.Directory.HeardWithin(p.VM, heardLately) {
+func (d *Driver) mayList(row *topology.Group, p topology.Promoter) bool {
+	if p.VM == d.o.Directory.Self().ID || d.o.Directory.HeardWithin(p.VM, maxHeardAge) {
 		return true
 	}
 	return slices.ContainsFunc(row.Promoters, func(e topology.Promoter) bool {
@@ -177,7 +184,7 @@
 	})
 }
 
-// entriesFor returns the list's entries for a replica.
+// entriesFor returns the row's promoters of a replica.
 func entriesFor(row *topology.Group, replica topology.TargetID) []topology.Promoter {
 	var list []topology.Promoter
 	for _, e := range row.Promoters {
@@ -189,10 +196,10 @@
 }
 
 func (d *Driver) logTerm(row *topology.Group) {
-	if d.seen[row.ID] == row.Term {
+	if d.loggedTerms[row.ID] == row.Term {
 		return
 	}
-	d.seen[row.ID] = row.Term
+	d.loggedTerms[row.ID] = row.Term
 	d.o.Log.Info("event=primary", "group", row.ID, "term", row.Term, "primary", row.Primary, "version", row.Version)
 }
 
@@ -202,19 +209,19 @@
 		return
 	}
 	for _, t := range d.parts[id].Targets {
-		delete(d.asking, t)
+		delete(d.polling, t)
 	}
-	delete(d.paces, id)
+	delete(d.pollStates, id)
 	delete(d.parts, id)
 }
 
-// dropHeld ends this VM's part as the primary's pooler, but not while a request or a
-// transaction is open here. Until then two VMs hold for the same term, which is harmless;
-// requests end here soon, since entries send new ones to the other VM.
+// dropHeld ends this VM's role as the holder of a group, but not while a request or a
+// transaction is open here. Until then two VMs are holders for the same term, which is
+// harmless; the requests here end soon, since entries send new ones to the other VM.
 //
-// Failure: a VM is started again and takes its targets back while writes run on them here.
-// They commit, nothing has failed, and yet their callers heard that the outcome is unknown:
-// 3 writes of one restart, in 1 of 54 restarts of five VMs under load.
+// Failure: a VM restarts and takes its targets back while writes run on them here. The
+// writes commit and nothing has failed, yet their callers got an unknown outcome: 3 writes
+// of one restart, in 1 of 54 restarts of five VMs under load.
 func (d *Driver) dropHeld(id topology.GroupID) {
 	target, ok := d.held[id]
 	if !ok || d.o.Pooler.Running(target) > 0 {
--- a/internal/failover/assign_test.go
+++ b/internal/failover/assign_test.go
@@ -8,15 +8,15 @@
 )
 
 var _ = Describe("Candidates", func() {
-	// A data centre is lost, and one VM elsewhere pools the dead replica there and the living
-	// one beside it. It is listed for the living one: for the dead one, no replica is synced
-	// and callers' writes that wait for one take four seconds each.
-	It("stand for the replica beside them first", func() {
+	// A data centre is lost, and one VM elsewhere pools both the dead replica there and the
+	// live one in its own data centre. It must be listed for the live one: with the dead one,
+	// no replica is synced and writes that wait for a replica take four seconds each.
+	It("are listed for the replica in their own data centre first", func() {
 		dead := topology.Promoter{VM: "vm-2", Replica: "a"}
 		living := topology.Promoter{VM: "vm-2", Replica: "b"}
 		other := topology.Promoter{VM: "vm-3", Replica: "c"}
-		beside := func(p topology.Promoter) bool { return p != dead }
-		Expect(onePerVM([]topology.Promoter{dead, living, other}, beside)).To(Equal([]topology.Promoter{living, other}))
-		Expect(onePerVM([]topology.Promoter{dead, other}, beside)).To(ConsistOf(dead, other))
+		sameDataCentre := func(p topology.Promoter) bool { return p != dead }
+		Expect(onePerVM([]topology.Promoter{dead, living, other}, sameDataCentre)).To(Equal([]topology.Promoter{living, other}))
+		Expect(onePerVM([]topology.Promoter{dead, other}, sameDataCentre)).To(ConsistOf(dead, other))
 	})
 })
--- a/internal/failover/calls.go
+++ b/internal/failover/calls.go
@@ -11,61 +11,64 @@
 )
 
 const (
-	// maxPlatformCalls bounds the calls under way. Failure: the platform returns
-	// from an outage and meets a commit and a read of every group of every VM.
+	// maxPlatformCalls bounds the concurrent calls of this VM. Failure: after an
+	// outage, the platform gets a commit and a read of every group from every VM
+	// at once.
 	maxPlatformCalls = 8
-	// reportCalls is how often the counts are logged.
-	reportCalls = time.Minute
+	// callReportPeriod is how often the call counts are logged.
+	callReportPeriod = time.Minute
 )
 
-// calls are this VM's calls to the platform's table: counted, and a few at a time.
-type calls struct {
-	table  platform.Table
-	places chan struct{}
+// limitedTable counts this VM's calls to the platform's table and bounds how many
+// run at a time.
+type limitedTable struct {
+	table     platform.Table
+	semaphore chan struct{}
 
 	reads, commits, failed atomic.Uint64
 }
 
-func newCalls(t platform.Table) *calls {
-	return &calls{table: t, places: make(chan struct{}, maxPlatformCalls)}
+func newLimitedTable(t platform.Table) *limitedTable {
+	return &limitedTable{table: t, semaphore: make(chan struct{}, maxPlatformCalls)}
 }
 
 // Scan implements platform.Table.
-func (c *calls) Scan(ctx context.Context, prefix string, since uint64) ([]platform.Row, uint64, error) {
-	if err := c.enter(ctx); err != nil {
+func (c *limitedTable) Scan(ctx context.Context, prefix string, since uint64) ([]platform.Row, uint64, error) {
+	if err := c.acquire(ctx); err != nil {
 		return nil, 0, err
 	}
-	defer c.leave()
+	defer c.release()
 	c.reads.Add(1)
 	rows, revision, err := c.table.Scan(ctx, prefix, since)
-	c.count(err)
+	c.countFailure(err)
 	return rows, revision, err
 }
 
-// Commit implements platform.Table. One that found no place was not sent.
-func (c *calls) Commit(ctx context.Context, txn platform.Txn) (platform.Outcome, error) {
-	if err := c.enter(ctx); err != nil {
+// Commit implements platform.Table. A commit whose context ends while it waits for
+// its turn is not sent.
+func (c *limitedTable) Commit(ctx context.Context, txn platform.Txn) (platform.Outcome, error) {
+	if err := c.acquire(ctx); err != nil {
 		return platform.Outcome{}, err
 	}
-	defer c.leave()
+	defer c.release()
 	c.commits.Add(1)
 	out, err := c.table.Commit(ctx, txn)
-	c.count(err)
+	c.countFailure(err)
 	return out, err
 }
 
-func (c *calls) enter(ctx context.Context) error {
+func (c *limitedTable) acquire(ctx context.Context) error {
 	select {
-	case c.places <- struct{}{}:
+	case c.semaphore <- struct{}{}:
 		return nil
 	case <-ctx.Done():
 		return errors.Mark(errors.Wrap(ctx.Err(), "wait for the platform"), platform.ErrUnavailable)
 	}
 }
 
-func (c *calls) leave() { <-c.places }
+func (c *limitedTable) release() { <-c.semaphore }
 
-func (c *calls) count(err error) {
+func (c *limitedTable) countFailure(err error) {
 	if err != nil {
 		c.failed.Add(1)
 	}
--- a/internal/failover/calls_test.go
+++ b/internal/failover/calls_test.go
@@ -15,23 +15,24 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// slowTable holds each commit until it may go on.
+// slowTable blocks each commit until proceed is closed.
 type slowTable struct {
 	*platform.Memory
-	open, most atomic.Int64
-	goOn       chan struct{}
+	inFlight, peak atomic.Int64
+	proceed        chan struct{}
 }
 
 func (s *slowTable) Commit(ctx context.Context, txn platform.Txn) (platform.Outcome, error) {
-	now := s.open.Add(1)
-	defer s.open.Add(-1)
-	for most := s.most.Load(); now > most && !s.most.CompareAndSwap(most, now); most = s.most.Load() {
+	now := s.inFlight.Add(1)
+	defer s.inFlight.Add(-1)
+	for peak := s.peak.Load(); now > peak && !s.peak.CompareAndSwap(peak, now); peak = s.peak.Load() {
 	}
-	<-s.goOn
+	<-s.proceed
 	return s.Memory.Commit(ctx, txn)
 }
 
-// racedTable lets an earlier try of the same commit take effect just before it.
+// racedTable applies each commit a first time just before it, as an earlier
+// attempt of the same commit would.
 type racedTable struct{ *platform.Memory }
 
 func (r racedTable) Commit(ctx context.Context, txn platform.Txn) (platform.Outcome, error) {
@@ -41,8 +42,8 @@
 	return r.Memory.Commit(ctx, txn)
 }
 
-// rowAt stores the group's row of a version.
-func rowAt(table platform.Table, version uint64, change string) *topology.Group {
+// storeRow stores the group's row with the given version.
+func storeRow(table platform.Table, version uint64, change string) *topology.Group {
 	row := &topology.Group{ID: "s/g", Version: version, Term: 1, Primary: "db0", ChangeID: change}
 	value, err := json.Marshal(row)
 	Expect(err).NotTo(HaveOccurred())
@@ -53,15 +54,15 @@
 }
 
 func driverOver(t platform.Table) *Driver {
-	return &Driver{o: Options{Publish: func(platform.Row) {}}, table: newCalls(t)}
+	return &Driver{o: Options{Publish: func(platform.Row) {}}, table: newLimitedTable(t)}
 }
 
 var _ = Describe("platform calls", func() {
-	// The platform hangs while many groups want to commit. Past the bound a commit
-	// waits, and one that runs out of time there was not sent: it may be given up.
-	It("are a few at a time, and a commit without a place was not sent", func() {
-		table := &slowTable{Memory: platform.NewMemory(), goOn: make(chan struct{})}
-		c := newCalls(table)
+	// The platform hangs while many groups want to commit. Above the bound a commit
+	// waits, and one that times out there was not sent, so it may be given up.
+	It("are bounded, and a commit that times out before its turn is not sent", func() {
+		table := &slowTable{Memory: platform.NewMemory(), proceed: make(chan struct{})}
+		c := newLimitedTable(table)
 		done := make(chan error)
 		for range 2 * maxPlatformCalls {
 			go func() {
@@ -69,16 +70,16 @@
 				done <- err
 			}()
 		}
-		Eventually(table.open.Load).Should(BeEquivalentTo(maxPlatformCalls))
+		Eventually(table.inFlight.Load).Should(BeEquivalentTo(maxPlatformCalls))
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
 		_, err := c.Commit(ctx, platform.Txn{})
 		Expect(errors.Is(err, platform.ErrUnavailable)).To(BeTrue())
-		close(table.goOn)
+		close(table.proceed)
 		for range 2 * maxPlatformCalls {
 			Eventually(done).Should(Receive(BeNil()))
 		}
-		Expect(table.most.Load()).To(BeEquivalentTo(maxPlatformCalls))
+		Expect(table.peak.Load()).To(BeEquivalentTo(maxPlatformCalls))
 		Expect(c.commits.Load()).To(BeEquivalentTo(2 * maxPlatformCalls))
 	})
 })
@@ -88,29 +89,30 @@
 		return &topology.Group{ID: "s/g", Version: 2, Term: 2, Primary: "db1", ChangeID: change}
 	}
 
-	It("tells of another's row in place", func() {
+	It("reports a conflict when another row is in place", func() {
 		table := platform.NewMemory()
-		rowAt(table, 1, "first")
-		rowAt(table, 2, "another")
+		storeRow(table, 1, "first")
+		storeRow(table, 2, "another")
 		res := driverOver(table).tryCommit(context.Background(), next("mine"))
 		Expect(res.Status).To(Equal(authority.Conflict))
 		Expect(res.Row.ChangeID).To(Equal("another"))
 	})
 
-	// The answer to the first try was lost and the promoter tries again. Its own
-	// row in place means that it has promoted; taken for a conflict, nobody would
-	// tell the replica, and callers' writes would wait for the next look.
-	It("finds its own earlier try in place", func() {
+	// The response to the first attempt was lost and the promoter tries again. Its own
+	// row in place means that the promotion is committed. If that counted as a conflict,
+	// nobody would promote the replica, and callers' writes would wait for the next
+	// periodic check.
+	It("succeeds when its own earlier attempt is in place", func() {
 		table := platform.NewMemory()
-		rowAt(table, 2, "mine")
+		storeRow(table, 2, "mine")
 		res := driverOver(table).tryCommit(context.Background(), next("mine"))
 		Expect(res.Status).To(Equal(authority.Committed))
 	})
 
-	// The same, but the earlier try takes effect between the read and the commit.
-	It("finds its own earlier try that came in between", func() {
+	// The same, but the earlier attempt takes effect between the read and the commit.
+	It("succeeds when its own earlier attempt takes effect after the read", func() {
 		table := platform.NewMemory()
-		rowAt(table, 1, "first")
+		storeRow(table, 1, "first")
 		res := driverOver(racedTable{table}).tryCommit(context.Background(), next("mine"))
 		Expect(res.Status).To(Equal(authority.Committed))
 	})
--- a/internal/failover/driver.go
+++ b/internal/failover/driver.go
@@ -1,5 +1,5 @@
-// Package failover drives pkg/authority: it carries out the actions that the
-// tables return and feeds their results back.
+// Package failover drives the tables of pkg/authority (holder, promoter and
+// detector): it carries out the actions that they return and feeds the results back.
 package failover
 
 import (
@@ -20,19 +20,20 @@
 
 // Periods and time-outs.
 const (
-	// tickPeriod of the systems; promotions have steps of tens of milliseconds.
+	// tickPeriod is how often the tables are ticked: the steps of a promotion take
+	// tens of milliseconds.
 	tickPeriod = 25 * time.Millisecond
-	// assignPeriod is how often this VM's parts are worked out anew.
+	// assignPeriod is how often this VM's assignments are updated.
 	assignPeriod = 250 * time.Millisecond
-	// peerTimeout of one message to another VM.
+	// peerTimeout bounds one message to another VM.
 	peerTimeout = 400 * time.Millisecond
-	// controlTimeout of one control statement.
+	// controlTimeout bounds one control statement.
 	controlTimeout = 500 * time.Millisecond
-	// commitTimeout of one commit to the platform's table.
+	// commitTimeout bounds one read of or commit to the platform's table.
 	commitTimeout = 2 * time.Second
 )
 
-// Directory tells what the driver must know of the world.
+// Directory provides the VMs, targets and groups that the driver needs to know.
 type Directory interface {
 	Self() topology.VM
 	VM(topology.VMID) (topology.VM, bool)
@@ -40,23 +41,23 @@
 	Parts() []Part
 	Target(topology.TargetID) (pooler.TargetLimits, bool)
 	PoolerOf(topology.TargetID) (topology.VM, bool)
-	// Witness picks a VM of another data centre than this one's and target's.
+	// Witness picks a VM outside the data centres of this VM and of the target.
 	Witness(topology.TargetID) (topology.VM, bool)
 	Group(topology.GroupID) *topology.Group
 	// HeardWithin reports whether a VM gave a sign of life in the last d.
 	HeardWithin(vm topology.VMID, d time.Duration) bool
 }
 
-// Part is a group with what this VM does for it.
+// Part describes what this VM does for a group.
 type Part struct {
 	Group topology.GroupID
-	// Targets of the group that this VM pools.
+	// Targets are the targets of the group that this VM pools.
 	Targets []topology.TargetID
 	// Candidates are the poolers of the group's targets.
 	Candidates []topology.Promoter
 }
 
-// Doubter asks a VM whether it lives.
+// Doubter checks whether a VM is alive.
 type Doubter interface {
 	Ask(ctx context.Context, vm topology.VMID)
 }
@@ -68,34 +69,34 @@
 	Pooler    *pooler.Pooler
 	Dialer    pooler.Dialer
 	Table     platform.Table
-	// Publish takes in a row just committed, for this VM and its peers.
+	// Publish announces a newly committed row to this VM and its peers.
 	Publish func(platform.Row)
-	// Doubt has a VM asked whether it lives.
+	// Doubt checks whether a VM is alive.
 	Doubt     Doubter
 	Clock     mono.Clock
 	Authority authority.Options
 	Log       *slog.Logger
 }
 
-// Driver owns the tables of this VM.
+// Driver owns the tables of this VM and carries out their actions.
 type Driver struct {
 	o Options
 
-	mu       sync.Mutex
-	holder   *authority.Holder
-	promoter *authority.Promoter
-	detector *authority.Detector
-	parts    map[topology.GroupID]Part
-	held     map[topology.GroupID]topology.TargetID
-	seen     map[topology.GroupID]uint64            // term last logged
-	health   map[topology.TargetID]authority.Health // last logged
-	watching map[topology.TargetID]*kept            // what the detector has
-	lanes    lanes
-	table    *calls
-	asking   map[topology.TargetID]asking
-	paces    map[topology.GroupID]pace
-	woken    chan struct{}
-	assigned func(context.Context)
+	mu           sync.Mutex
+	holder       *authority.Holder
+	promoter     *authority.Promoter
+	detector     *authority.Detector
+	parts        map[topology.GroupID]Part
+	held         map[topology.GroupID]topology.TargetID
+	loggedTerms  map[topology.GroupID]uint64            // last logged term
+	health       map[topology.TargetID]authority.Health // last logged health
+	probeConns   map[topology.TargetID]*probeConn       // primaries that the detector watches
+	actionQueues actionQueues
+	table        *limitedTable
+	polling      map[topology.TargetID]polling
+	pollStates   map[topology.GroupID]pollState
+	assignNow    chan struct{}
+	onAssigned   func(context.Context)
 }
 
 // New makes a driver.
@@ -103,40 +104,40 @@
 	self := o.Directory.Self()
 	seed := uint64(self.Incarnation)
 	return &Driver{
-		o:        o,
-		holder:   authority.NewHolder(self, o.Authority),
-		promoter: authority.NewPromoter(self, o.Authority, rand.New(rand.NewPCG(seed, seed)), o.Clock.Now()),
-		detector: authority.NewDetector(),
-		parts:    map[topology.GroupID]Part{},
-		held:     map[topology.GroupID]topology.TargetID{},
-		seen:     map[topology.GroupID]uint64{},
-		health:   map[topology.TargetID]authority.Health{},
-		watching: map[topology.TargetID]*kept{},
-		lanes:    newLanes(),
-		table:    newCalls(o.Table),
-		asking:   map[topology.TargetID]asking{},
-		paces:    map[topology.GroupID]pace{},
-		woken:    make(chan struct{}, 1),
-		assigned: func(context.Context) {},
+		o:            o,
+		holder:       authority.NewHolder(self, o.Authority),
+		promoter:     authority.NewPromoter(self, o.Authority, rand.New(rand.NewPCG(seed, seed)), o.Clock.Now()),
+		detector:     authority.NewDetector(),
+		parts:        map[topology.GroupID]Part{},
+		held:         map[topology.GroupID]topology.TargetID{},
+		loggedTerms:  map[topology.GroupID]uint64{},
+		health:       map[topology.TargetID]authority.Health{},
+		probeConns:   map[topology.TargetID]*probeConn{},
+		actionQueues: newActionQueues(),
+		table:        newLimitedTable(o.Table),
+		polling:      map[topology.TargetID]polling{},
+		pollStates:   map[topology.GroupID]pollState{},
+		assignNow:    make(chan struct{}, 1),
+		onAssigned:   func(context.Context) {},
 	}
 }
 
-// OnAssigned names what follows each time that this VM's parts were worked out;
-// it is called before Run.
-func (d *Driver) OnAssigned(f func(context.Context)) { d.assigned = f }
+// OnAssigned sets a function to be called after each update of this VM's
+// assignments. It must be called before Run.
+func (d *Driver) OnAssigned(f func(context.Context)) { d.onAssigned = f }
 
-// Run ticks until ctx ends.
+// Run does the driver's periodic work until ctx ends.
 func (d *Driver) Run(ctx context.Context) {
-	go loop(ctx, assignPeriod, d.woken, func(ctx context.Context) {
+	go loop(ctx, assignPeriod, d.assignNow, func(ctx context.Context) {
 		d.assign(ctx)
-		d.assigned(ctx)
+		d.onAssigned(ctx)
 	})
-	go loop(ctx, statusTick, nil, d.askTargets)
-	go loop(ctx, reportCalls, nil, d.reportPlatform)
+	go loop(ctx, statusTick, nil, d.pollTargets)
+	go loop(ctx, callReportPeriod, nil, d.reportPlatform)
 	loop(ctx, tickPeriod, nil, d.tick)
 }
 
-// loop calls f each period and whenever woken.
+// loop calls f every period and whenever woken receives.
 func loop(ctx context.Context, period time.Duration, woken <-chan struct{}, f func(context.Context)) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
@@ -151,12 +152,12 @@
 	}
 }
 
-// tick runs the systems and starts what they ask for.
+// tick ticks the tables and starts the actions that they return.
 func (d *Driver) tick(ctx context.Context) {
 	d.mu.Lock()
 	now := d.o.Clock.Now()
 	for id, part := range d.parts {
-		d.judge(id, part, now)
+		d.reportHealth(id, part, now)
 	}
 	actions := d.detector.Tick(now)
 	actions = append(actions, d.holder.Tick(now)...)
@@ -168,8 +169,9 @@
 	}
 }
 
-// judge tells the tables how the group's primary looks from here.
-func (d *Driver) judge(id topology.GroupID, part Part, now mono.Time) {
+// reportHealth passes the health of the group's primary, as seen from this VM, to
+// the holder and the promoter.
+func (d *Driver) reportHealth(id topology.GroupID, part Part, now mono.Time) {
 	row := d.o.Directory.Group(id)
 	if row == nil {
 		return
@@ -189,8 +191,8 @@
 	}
 }
 
-// ObserveRows takes rows in; began is the instant before the platform read that
-// showed them, or the zero time when they were heard from a peer.
+// ObserveRows takes in rows. began is the time just before the platform read that
+// returned them, or the zero time when they came from a peer.
 func (d *Driver) ObserveRows(rows []*topology.Group, began time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -200,20 +202,20 @@
 		at = now.Add(-time.Since(began))
 	}
 	for _, row := range rows {
-		if _, ok := d.parts[row.ID]; !ok && !d.lists(row) {
+		if _, ok := d.parts[row.ID]; !ok && !d.joinIfListed(row) {
 			continue
 		}
 		d.observeRow(authority.RowRead{Row: row, Began: at}, now)
 	}
-	d.wake()
+	d.triggerAssign()
 }
 
-// wake has this VM's parts worked out at once instead of after a period: each
-// step of a failover would else wait for one.
-func (d *Driver) wake() {
+// triggerAssign updates this VM's assignments at once instead of after a period:
+// otherwise each step of a failover would wait for one.
+func (d *Driver) triggerAssign() {
 	select {
-	case d.woken <- struct{}{}:
-	default: // A look is due already, and it will see these rows.
+	case d.assignNow <- struct{}{}:
+	default: // An update is due already, and it will see these rows.
 	}
 }
 
@@ -228,15 +230,15 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if _, ok := d.held[group]; !ok {
-		d.doubtPooler(group)
+		d.checkPooler(group)
 	}
 	return d.holder.Right(group, term, d.o.Clock.Now())
 }
 
-// doubtPooler asks the VM that this one takes for the primary's pooler whether
-// it lives. Somebody sent its request here instead, so it may be dead, and then
-// this VM has to take over without waiting for the platform's list.
-func (d *Driver) doubtPooler(group topology.GroupID) {
+// checkPooler checks whether the VM that this VM knows as the primary's pooler is
+// alive. A request for it arrived here instead, so it may be dead, and then this VM
+// has to take over without waiting for the platform's list of VMs.
+func (d *Driver) checkPooler(group topology.GroupID) {
 	row := d.o.Directory.Group(group)
 	if row == nil {
 		return
@@ -252,7 +254,7 @@
 	defer d.mu.Unlock()
 	now := d.o.Clock.Now()
 	if waited {
-		d.noteWaited(r.Group, now)
+		d.recordWait(r.Group, now)
 	}
 	return d.holder.Confirm(r, waited, now)
 }
@@ -271,7 +273,7 @@
 	d.detector.Doubt(t)
 }
 
-// Health tells how a target looks from here.
+// Health returns the health of a target as seen from this VM.
 func (d *Driver) Health(t topology.TargetID) authority.Health {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -285,7 +287,7 @@
 	return d.promoter.Attempting(group)
 }
 
-// Switchover drains the group's primary and has to promoted.
+// Switchover drains the group's primary and then has the target to promoted.
 func (d *Driver) Switchover(group topology.GroupID, to topology.TargetID) *result.Error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -296,7 +298,7 @@
 	return nil
 }
 
-// Drained tells that every write admitted before Switchover has ended.
+// Drained records that every write admitted before Switchover has ended.
 func (d *Driver) Drained(group topology.GroupID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/failover/handover_test.go
+++ b/internal/failover/handover_test.go
@@ -25,55 +25,55 @@
 	primaryTarget  = topology.TargetID("a")
 )
 
-// surroundings is all that a Driver and its Pooler ask of the rest of a daemon: one group
-// whose primary this VM pools as long as parts says so.
-type surroundings struct {
+// fakeDaemon implements what a Driver and its Pooler need from the rest of a daemon, for
+// one group whose primary this VM pools as long as parts contains it.
+type fakeDaemon struct {
 	net.Dialer
 	limits pooler.TargetLimits
 	row    *topology.Group
 	parts  []Part
 }
 
-func (s *surroundings) Self() topology.VM {
+func (s *fakeDaemon) Self() topology.VM {
 	return topology.VM{ID: "vm-1", Incarnation: 1, DataCentre: "x"}
 }
 
-func (s *surroundings) VM(topology.VMID) (topology.VM, bool)                 { return topology.VM{}, false }
-func (s *surroundings) Parts() []Part                                        { return s.parts }
-func (s *surroundings) Target(topology.TargetID) (pooler.TargetLimits, bool) { return s.limits, true }
+func (s *fakeDaemon) VM(topology.VMID) (topology.VM, bool)                 { return topology.VM{}, false }
+func (s *fakeDaemon) Parts() []Part                                        { return s.parts }
+func (s *fakeDaemon) Target(topology.TargetID) (pooler.TargetLimits, bool) { return s.limits, true }
 
-func (s *surroundings) PoolerOf(topology.TargetID) (topology.VM, bool) { return topology.VM{}, false }
+func (s *fakeDaemon) PoolerOf(topology.TargetID) (topology.VM, bool) { return topology.VM{}, false }
 
-func (s *surroundings) Witness(topology.TargetID) (topology.VM, bool) { return topology.VM{}, false }
-func (s *surroundings) Group(topology.GroupID) *topology.Group        { return s.row }
-func (s *surroundings) HeardWithin(topology.VMID, time.Duration) bool { return true }
-func (s *surroundings) Ask(context.Context, topology.VMID)            {}
-func (s *surroundings) Bounds() pooler.Bounds {
+func (s *fakeDaemon) Witness(topology.TargetID) (topology.VM, bool) { return topology.VM{}, false }
+func (s *fakeDaemon) Group(topology.GroupID) *topology.Group        { return s.row }
+func (s *fakeDaemon) HeardWithin(topology.VMID, time.Duration) bool { return true }
+func (s *fakeDaemon) Ask(context.Context, topology.VMID)            {}
+func (s *fakeDaemon) Bounds() pooler.Bounds {
 	return pooler.Bounds{TransactionIdle: time.Minute, ResultBytes: 1 << 20}
 }
-func (s *surroundings) Answered(topology.TargetID, time.Duration)   {}
-func (s *surroundings) Doubted(topology.TargetID)                   {}
-func (s *surroundings) Confirm(authority.Right, bool) *result.Error { return nil }
-func (s *surroundings) Class(string, string) (pooler.ClassLimits, bool) {
+func (s *fakeDaemon) Answered(topology.TargetID, time.Duration)   {}
+func (s *fakeDaemon) Doubted(topology.TargetID)                   {}
+func (s *fakeDaemon) Confirm(authority.Right, bool) *result.Error { return nil }
+func (s *fakeDaemon) Class(string, string) (pooler.ClassLimits, bool) {
 	return pooler.ClassLimits{Write: true, Repeatable: true, Priority: admission.Normal}, true
 }
 
-func (s *surroundings) Admission(topology.TargetID) admission.Limits {
+func (s *fakeDaemon) Admission(topology.TargetID) admission.Limits {
 	return admission.Limits{Slots: 2, Queue: 10, ClassQueue: 10, MemberQueue: 10}
 }
 
-func (s *surroundings) Right(g topology.GroupID, term uint64) (authority.Right, *result.Error) {
+func (s *fakeDaemon) Right(g topology.GroupID, term uint64) (authority.Right, *result.Error) {
 	return authority.Right{Group: g, Term: term}, nil
 }
 
 // newHandover starts a target, a pooler and a driver that holds the group.
-func newHandover() (*surroundings, *pooler.Pooler, *Driver) {
+func newHandover() (*fakeDaemon, *pooler.Pooler, *Driver) {
 	db, err := database.New(database.Config{ID: string(primaryTarget)})
 	Expect(err).NotTo(HaveOccurred())
 	Expect(db.Listen("127.0.0.1:0")).To(Succeed())
 	DeferCleanup(db.Close)
 	Expect(db.Promote(1)).To(Succeed())
-	s := &surroundings{
+	s := &fakeDaemon{
 		row:   &topology.Group{ID: groupUnderTest, Version: 1, Term: 1, Primary: primaryTarget},
 		parts: []Part{{Group: groupUnderTest, Targets: []topology.TargetID{primaryTarget}}},
 	}
@@ -90,14 +90,14 @@
 }
 
 var _ = Describe("A primary's pooler that another VM takes over from", func() {
-	// The caller's write is under way at the pooler when a VM that was started again takes the
-	// target back, as rendezvous hashing would have it. The write commits. Had the pooler given
-	// up its right by then, the caller would hear that the outcome is unknown (BTS-1205, with
-	// WrongPooler as the reason), though nothing has failed.
-	It("keeps its right until what it took is answered", func() {
+	// A write runs at the pooler when a restarted VM takes the target back, as rendezvous
+	// hashing assigns it. The write commits. If the pooler had given up its right by then, the
+	// caller would get an unknown outcome (BTS-1205, with WrongPooler as the reason), though
+	// nothing has failed.
+	It("keeps its right until the requests that it accepted are answered", func() {
 		s, p, d := newHandover()
 		d.assign(context.Background())
-		d.assign(context.Background()) // The first look makes it the holder, this one has it take the row in.
+		d.assign(context.Background()) // The first call makes it the holder, this one makes it observe the row.
 		messages, err := (&pgproto3.Query{String: "select pg_sleep(0.6)"}).Encode(nil)
 		Expect(err).NotTo(HaveOccurred())
 		answered := make(chan *peerpb.ExecuteResponse, 1)
--- a/internal/failover/messages.go
+++ b/internal/failover/messages.go
@@ -10,7 +10,7 @@
 	"github.com/buckthornshore/buckthornshore/rpc/peerpb"
 )
 
-func heartbeatTo(r authority.HeartbeatRequest) *peerpb.HeartbeatRequest {
+func heartbeatToProto(r authority.HeartbeatRequest) *peerpb.HeartbeatRequest {
 	out := &peerpb.HeartbeatRequest{Vm: string(r.VM), Incarnation: uint64(r.Incarnation), Sequence: r.Sequence}
 	for _, p := range r.Promises {
 		out.Promises = append(out.Promises, &peerpb.PromiseRequest{
@@ -23,7 +23,7 @@
 	return out
 }
 
-func heartbeatFrom(r *peerpb.HeartbeatRequest) authority.HeartbeatRequest {
+func heartbeatFromProto(r *peerpb.HeartbeatRequest) authority.HeartbeatRequest {
 	out := authority.HeartbeatRequest{
 		VM:          topology.VMID(r.Vm),
 		Incarnation: topology.Incarnation(r.Incarnation),
@@ -40,7 +40,7 @@
 	return out
 }
 
-func heartbeatAnswerTo(r authority.HeartbeatResponse) *peerpb.HeartbeatResponse {
+func heartbeatResponseToProto(r authority.HeartbeatResponse) *peerpb.HeartbeatResponse {
 	out := &peerpb.HeartbeatResponse{Sequence: r.Sequence, Incarnation: uint64(r.Incarnation)}
 	for _, p := range r.Promises {
 		out.Promises = append(out.Promises, &peerpb.Promise{
@@ -55,7 +55,7 @@
 	return out
 }
 
-func heartbeatAnswerFrom(r *peerpb.HeartbeatResponse) authority.HeartbeatResponse {
+func heartbeatResponseFromProto(r *peerpb.HeartbeatResponse) authority.HeartbeatResponse {
 	out := authority.HeartbeatResponse{Sequence: r.Sequence, Incarnation: topology.Incarnation(r.Incarnation)}
 	for _, p := range r.Promises {
 		out.Promises = append(out.Promises, authority.Promise{
@@ -70,7 +70,7 @@
 	return out
 }
 
-func withdrawAnswerFrom(req authority.WithdrawRequest, r *peerpb.WithdrawResponse) authority.WithdrawResponse {
+func withdrawResponseFromProto(req authority.WithdrawRequest, r *peerpb.WithdrawResponse) authority.WithdrawResponse {
 	return authority.WithdrawResponse{
 		Group:            req.Group,
 		Version:          req.Version,
@@ -92,7 +92,7 @@
 	return raw
 }
 
-// decodeRow returns nil for none and for a row that can't be read.
+// decodeRow returns nil if raw is empty or can't be decoded.
 func decodeRow(raw []byte) *topology.Group {
 	if len(raw) == 0 {
 		return nil
--- a/internal/failover/probe.go
+++ b/internal/failover/probe.go
@@ -10,73 +10,74 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// pingTimeout of a question on a connection that an earlier probe left open.
+// pingTimeout bounds a ping on the connection that an earlier probe left open.
 const pingTimeout = 100 * time.Millisecond
 
-// kept is the connection of a watched target's last probe. While it answers, no
-// new one is needed: opening costs ten times as much, at both ends.
-type kept struct {
-	control *pooler.Control // nil while a probe uses it, and before the first
+// probeConn is the connection that a watched target's last probe left open. While it
+// answers, no new one is needed: opening one costs ten times as much, at both ends.
+type probeConn struct {
+	control *pooler.Control // nil while a probe uses it, and before the first probe
 }
 
-// watch has the detector look after a primary.
+// watch makes the detector watch a primary.
 func (d *Driver) watch(t topology.TargetID, now mono.Time) {
 	d.detector.Watch(t, now)
-	if d.watching[t] == nil {
-		d.watching[t] = &kept{}
+	if d.probeConns[t] == nil {
+		d.probeConns[t] = &probeConn{}
 	}
 }
 
-// forgetOthers ends the probes of targets that are no primary of this VM's groups
-// any more. Failure: a VM that had a whole data centre's targets for a moment
-// probes them for ever after.
-func (d *Driver) forgetOthers() {
+// unwatchOthers stops the probes of targets that are no longer the primary of one of
+// this VM's groups. Failure: a VM that was assigned a whole data centre's targets for
+// a moment probes them from then on.
+func (d *Driver) unwatchOthers() {
 	primaries := map[topology.TargetID]bool{}
 	for id := range d.parts {
 		if row := d.o.Directory.Group(id); row != nil {
 			primaries[row.Primary] = true
 		}
 	}
-	for t, k := range d.watching {
+	for t, p := range d.probeConns {
 		if primaries[t] {
 			continue
 		}
-		if k.control != nil {
-			go k.control.Close()
+		if p.control != nil {
+			go p.control.Close()
 		}
 		d.detector.Forget(t)
-		delete(d.watching, t)
+		delete(d.probeConns, t)
 		delete(d.health, t)
 	}
 }
 
-// take returns the target's kept connection, if nobody else uses it.
-func (d *Driver) take(t topology.TargetID) *pooler.Control {
+// takeConn removes and returns the target's open connection, or nil if there is
+// none or a probe uses it.
+func (d *Driver) takeConn(t topology.TargetID) *pooler.Control {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	k := d.watching[t]
-	if k == nil {
+	p := d.probeConns[t]
+	if p == nil {
 		return nil
 	}
-	c := k.control
-	k.control = nil
+	c := p.control
+	p.control = nil
 	return c
 }
 
-// keep puts a connection back that answered.
-func (d *Driver) keep(t topology.TargetID, c *pooler.Control) {
+// keepConn keeps a connection that answered for the next probe.
+func (d *Driver) keepConn(t topology.TargetID, c *pooler.Control) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if k := d.watching[t]; k != nil && k.control == nil {
-		k.control = c
+	if p := d.probeConns[t]; p != nil && p.control == nil {
+		p.control = c
 		return
 	}
 	go c.Close()
 }
 
-// probe asks a target whether it lives, on a new connection unless the last
-// probe's still answers. Probes that come while that one is waited for open new
-// ones, so a silent connection delays no verdict.
+// probe checks whether a target is alive, on a new connection unless the last
+// probe's connection still answers. Probes that start while that one is in use open
+// new ones, so a silent connection doesn't delay the detection of a failure.
 func (d *Driver) probe(ctx context.Context, a authority.Probe) {
 	if d.ping(ctx, a.Target) {
 		return
@@ -90,13 +91,13 @@
 	sent := d.o.Clock.Now()
 	c, err := pooler.OpenProbe(ctx, d.o.Dialer, t.Address)
 	if err == nil {
-		d.keep(a.Target, c)
+		d.keepConn(a.Target, c)
 	}
-	d.locked(func(now mono.Time) { d.detector.ObserveProbe(a.Target, probeOutcome(err), sent, now) })
+	d.withLock(func(now mono.Time) { d.detector.ObserveProbe(a.Target, probeOutcome(err), sent, now) })
 }
 
 func (d *Driver) ping(ctx context.Context, t topology.TargetID) bool {
-	c := d.take(t)
+	c := d.takeConn(t)
 	if c == nil {
 		return false
 	}
@@ -107,7 +108,7 @@
 		c.Close()
 		return false
 	}
-	d.keep(t, c)
-	d.locked(func(now mono.Time) { d.detector.ObserveAnswer(t, now.Sub(sent), now) })
+	d.keepConn(t, c)
+	d.withLock(func(now mono.Time) { d.detector.ObserveAnswer(t, now.Sub(sent), now) })
 	return true
 }
--- a/internal/failover/lanes_test.go
+++ b/internal/failover/queues_test.go
@@ -17,11 +17,11 @@
 	RunSpecs(t, "failover")
 }
 
-var _ = Describe("lanes", func() {
-	// A replica stays fenced and falls behind: its fence was slow, the attempt was
-	// given up, and the order to follow again was sent before the fence arrived.
-	It("keeps the order of a database and holds up no other", func() {
-		l := newLanes()
+var _ = Describe("actionQueues", func() {
+	// Guards against a replica that stays fenced and falls behind: its fence was slow,
+	// the attempt was given up, and the command to follow again arrived first.
+	It("runs the actions on a target in order and delays no other target", func() {
+		q := newActionQueues()
 		var mu sync.Mutex
 		var done []string
 		record := func(s string) func() {
@@ -33,16 +33,16 @@
 		}
 		slow := make(chan struct{})
 		started := make(chan struct{})
-		l.run("db1", step{kind: "fence", do: func() {
+		q.enqueue("db1", queuedAction{kind: "fence", do: func() {
 			close(started)
 			<-slow
 			record("fence")()
 		}})
 		Eventually(started).Should(BeClosed())
-		l.run("db1", step{kind: "follow", do: record("follow, first")})
-		l.run("db1", step{kind: "follow", do: record("follow")})
+		q.enqueue("db1", queuedAction{kind: "follow", do: record("follow, first")})
+		q.enqueue("db1", queuedAction{kind: "follow", do: record("follow")})
 		other := make(chan struct{})
-		l.run("db2", step{kind: "fence", do: func() { close(other) }})
+		q.enqueue("db2", queuedAction{kind: "fence", do: func() { close(other) }})
 		Eventually(other).Should(BeClosed())
 		close(slow)
 		Eventually(func() []string {
@@ -51,21 +51,21 @@
 			return append([]string(nil), done...)
 		}).Should(Equal([]string{"fence", "follow"}))
 		Eventually(func() int {
-			l.mu.Lock()
-			defer l.mu.Unlock()
-			return len(l.busy) + len(l.waiting)
+			q.mu.Lock()
+			defer q.mu.Unlock()
+			return len(q.busy) + len(q.waiting)
 		}).Should(BeZero())
 	})
 })
 
-var _ = Describe("rewound", func() {
-	// An old primary returns with writes that nobody else holds. Its position is
+var _ = Describe("logMatchesPrimary", func() {
+	// An old primary returns with writes that no other target holds. Its position is
 	// greater than the new primary's until they are cut off, and must not count.
-	It("tells a target that still holds entries of its own", func() {
+	It("is false for a target that still holds entries of its own", func() {
 		at := func(term uint64) pooler.TargetStatus {
 			return pooler.TargetStatus{Term: 2, Primary: topology.TargetID("db1"), Position: position.Position{Term: term, Index: 9}}
 		}
-		Expect(rewound(at(1))).To(BeFalse())
-		Expect(rewound(at(2))).To(BeTrue())
+		Expect(logMatchesPrimary(at(1))).To(BeFalse())
+		Expect(logMatchesPrimary(at(2))).To(BeTrue())
 	})
 })
--- a/internal/failover/rows.go
+++ b/internal/failover/rows.go
@@ -15,13 +15,13 @@
 const groupPrefix = "group/"
 
 // commit replaces the group's row by compare-and-set. The condition is the
-// table's revision of the row of the version before, which a read brings.
+// table's revision of the row's previous version, which is read first.
 func (d *Driver) commit(ctx context.Context, row *topology.Group, holder bool) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	began := d.o.Clock.Now()
 	res := d.tryCommit(ctx, row)
-	d.locked(func(now mono.Time) {
+	d.withLock(func(now mono.Time) {
 		if holder {
 			d.holder.ObserveCommit(res, now)
 		} else {
@@ -44,7 +44,7 @@
 		return res
 	}
 	if current == nil || current.Version != row.Version-1 {
-		conflict(&res, current)
+		setConflict(&res, current)
 		return res
 	}
 	key := groupPrefix + string(row.ID)
@@ -59,7 +59,7 @@
 	case err != nil:
 		res.Status = authority.Unknown
 	case !out.Committed:
-		conflict(&res, conflictRow(out))
+		setConflict(&res, conflictRow(out))
 	default:
 		res.Status = authority.Committed
 		d.o.Publish(platform.Row{Key: key, Value: value, Revision: out.Revision})
@@ -67,10 +67,11 @@
 	return res
 }
 
-// conflict tells that another row is in place than the one to be replaced. It is
-// the committer's own when an earlier try took effect and its answer was lost,
-// also between the read of this try and its commit.
-func conflict(res *authority.CommitResult, inPlace *topology.Group) {
+// setConflict sets the result for a table whose row is not the one to be replaced.
+// The row is the committer's own, and the result is Committed, when an earlier
+// attempt took effect and its response was lost, possibly between the read of this
+// attempt and its commit.
+func setConflict(res *authority.CommitResult, inPlace *topology.Group) {
 	if inPlace != nil && inPlace.ChangeID == res.ChangeID {
 		res.Status = authority.Committed
 		return
@@ -109,5 +110,5 @@
 	if err != nil || row == nil {
 		return
 	}
-	d.locked(func(now mono.Time) { d.observeRow(authority.RowRead{Row: row, Began: began}, now) })
+	d.withLock(func(now mono.Time) { d.observeRow(authority.RowRead{Row: row, Began: began}, now) })
 }
--- a/internal/failover/server.go
+++ b/internal/failover/server.go
@@ -12,19 +12,20 @@
 	"github.com/buckthornshore/buckthornshore/rpc/peerpb"
 )
 
-// witnessTimeout bounds a second opinion; the asker waits for it.
+// witnessTimeout bounds a witness's probe of a target; the VM that asked waits for
+// the result.
 const witnessTimeout = 300 * time.Millisecond
 
-// Server implements peerpb.Failover over a driver's tables.
+// Server implements peerpb.Failover with the tables of a driver.
 type Server struct{ d *Driver }
 
-// NewServer makes a server.
+// NewServer returns a server for the driver's tables.
 func NewServer(d *Driver) *Server { return &Server{d} }
 
 // Heartbeat implements peerpb.Failover.
 func (s *Server) Heartbeat(_ context.Context, req *peerpb.HeartbeatRequest) (resp *peerpb.HeartbeatResponse, _ error) {
-	s.d.locked(func(now mono.Time) {
-		resp = heartbeatAnswerTo(s.d.promoter.HandleHeartbeat(heartbeatFrom(req), now))
+	s.d.withLock(func(now mono.Time) {
+		resp = heartbeatResponseToProto(s.d.promoter.HandleHeartbeat(heartbeatFromProto(req), now))
 	})
 	return resp, nil
 }
@@ -37,7 +38,7 @@
 		Row:     decodeRow(req.Row),
 	}
 	var answer authority.WithdrawResponse
-	s.d.locked(func(now mono.Time) { answer = s.d.promoter.HandleWithdraw(ask, now) })
+	s.d.withLock(func(now mono.Time) { answer = s.d.promoter.HandleWithdraw(ask, now) })
 	return &peerpb.WithdrawResponse{
 		Withdrawn:        answer.Withdrawn,
 		LapsesInMs:       ceilMilliseconds(answer.LapsesIn),
@@ -49,7 +50,7 @@
 // ReleaseRight implements peerpb.Failover.
 func (s *Server) ReleaseRight(_ context.Context, req *peerpb.ReleaseRightRequest) (*peerpb.ReleaseRightResponse, error) {
 	var answer authority.ReleaseRightResponse
-	s.d.locked(func(now mono.Time) {
+	s.d.withLock(func(now mono.Time) {
 		answer = s.d.holder.HandleRelease(authority.ReleaseRightRequest{
 			Group:   topology.GroupID(req.Group),
 			Version: req.Version,
@@ -58,7 +59,7 @@
 	return &peerpb.ReleaseRightResponse{Released: answer.Released}, nil
 }
 
-// Witness implements peerpb.Failover: it looks by a new connection of its own.
+// Witness implements peerpb.Failover: it probes the target on a new connection.
 func (s *Server) Witness(ctx context.Context, req *peerpb.WitnessRequest) (*peerpb.WitnessResponse, error) {
 	t, ok := s.d.o.Directory.Target(topology.TargetID(req.Target))
 	if !ok {
@@ -72,7 +73,7 @@
 
 // TakeOver implements peerpb.Failover.
 func (s *Server) TakeOver(_ context.Context, req *peerpb.SwitchoverNotice) (*peerpb.SwitchoverNoticeResponse, error) {
-	s.d.locked(func(now mono.Time) { s.d.promoter.Switchover(topology.GroupID(req.Group), now) })
+	s.d.withLock(func(now mono.Time) { s.d.promoter.Switchover(topology.GroupID(req.Group), now) })
 	return &peerpb.SwitchoverNoticeResponse{}, nil
 }
 
--- a/internal/failover/targets.go
+++ b/internal/failover/targets.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return
 	}
-	d.locked(func(now mono.Time) { d.promoter.ObserveFenced(a, s.Position, now) })
+	d.withLock(func(now mono.Time) { d.promoter.ObserveFenced(a, s.Position, now) })
 }
 
 func (d *Driver) promote(ctx context.Context, a authority.PromoteReplica) {
@@ -43,12 +43,12 @@
 		return
 	}
 	d.Promoted(a.Group, a.Term)
-	d.assign(ctx) // This VM holds the new primary from here on, not from the next period.
+	d.assign(ctx) // This VM becomes the holder at once, not after the next period.
 }
 
-// Promoted tells that the group's primary confirmed the term.
+// Promoted records that the group's primary confirmed the term.
 func (d *Driver) Promoted(group topology.GroupID, term uint64) {
-	d.locked(func(mono.Time) { d.holder.ObservePromoted(group, term) })
+	d.withLock(func(mono.Time) { d.holder.ObservePromoted(group, term) })
 }
 
 func (d *Driver) follow(ctx context.Context, a authority.FollowPrimary) {
@@ -66,8 +66,9 @@
 	d.o.Log.Info("event=follow", "group", a.Group, "target", a.Target, "primary", row.Primary, "error", err)
 }
 
-// readReplica asks a database of the group by a connection of its own: a cached
-// status, or the VM that pools it, might be older than the end of the rights.
+// readReplica reads the position of a target of the group on a connection of its
+// own: a cached status, or one from the VM that pools it, might be older than the end
+// of the rights.
 func (d *Driver) readReplica(ctx context.Context, a authority.ReadReplica) {
 	t, ok := d.o.Directory.Target(a.Target)
 	if !ok {
@@ -79,10 +80,10 @@
 	if err != nil {
 		return
 	}
-	d.locked(func(mono.Time) { d.promoter.ObservePosition(a, s.Position) })
+	d.withLock(func(mono.Time) { d.promoter.ObservePosition(a, s.Position) })
 }
 
-// probeOutcome tells a refused connection from one that nobody answered.
+// probeOutcome distinguishes a refused connection from one that timed out.
 func probeOutcome(err error) authority.ProbeOutcome {
 	var timeout net.Error
 	switch {
