--- a/internal/view/directory.go
+++ b/internal/view/directory.go
@@ -36,7 +36,7 @@
 	}, ok
 }
 
-// queuePerTarget bounds all requests that wait for one target.
+// queuePerTarget is the maximum number of requests that wait for one target.
 const queuePerTarget = 4000
 
 // Admission implements pooler.Directory.
--- a/internal/view/entries.go
+++ b/internal/view/entries.go
@@ -7,8 +7,8 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Gone reports whether the VM is dead, or has been started anew since the
-// incarnation: what it held then, nobody will ask for again.
+// Gone reports whether the VM is dead or has restarted since the incarnation. Nobody
+// will ask again for what the incarnation held.
 func (v *View) Gone(id topology.VMID, incarnation topology.Incarnation) bool {
 	for _, s := range v.Statuses() {
 		if s.VM.ID == id {
--- a/internal/view/members.go
+++ b/internal/view/members.go
@@ -11,29 +11,30 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// SetList takes in the platform's list of VMs, a hint.
+// SetList merges the platform's list of VMs, which is only a hint.
 func (v *View) SetList(vms []topology.VM) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.listed = v.listed || slices.ContainsFunc(vms, func(vm topology.VM) bool { return vm.ID != v.self.ID })
+	v.peersListed = v.peersListed || slices.ContainsFunc(vms, func(vm topology.VM) bool { return vm.ID != v.self.ID })
 	if v.members.MergeList(vms, v.clock.Now()) {
 		v.refresh()
 	}
 }
 
-// listGrace is how long a daemon that starts waits to hear of another VM before it
-// goes by what it has met: with the platform out, or alone, it has to serve.
+// listGrace is how long a starting daemon waits for a list with another VM in it.
+// After that it assigns targets among the VMs that it knows: it has to serve during a
+// platform outage, or when it is the only VM.
 const listGrace = 5 * time.Second
 
-// knowsOthers reports whether the choice of poolers means anything yet. Failure:
-// a daemon that starts knows itself alone, so every target of the plan falls to
-// it, and it opens thousands of connections that the rightful poolers have open
-// already. The rows are there within milliseconds; the caller holds the lock.
-func (v *View) knowsOthers() bool {
-	return v.listed || v.clock.Now().Sub(v.started) >= listGrace
+// canAssign reports whether poolers can be chosen yet. Failure: a starting daemon
+// knows only itself, so every configured target is assigned to it, and it opens
+// thousands of connections that the actual poolers have open already. The rows of the
+// other VMs arrive within milliseconds; the caller holds the lock.
+func (v *View) canAssign() bool {
+	return v.peersListed || v.clock.Now().Sub(v.started) >= listGrace
 }
 
-// Observe takes in what this VM saw of another.
+// Observe takes in evidence about another VM.
 func (v *View) Observe(ev membership.Evidence) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -42,7 +43,7 @@
 	}
 }
 
-// Leave marks this VM as leaving: it is chosen for nothing new.
+// Leave marks this VM as leaving: it gets no new roles.
 func (v *View) Leave() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -51,14 +52,15 @@
 	v.refresh()
 }
 
-// Chosen returns the other VMs that may be given work.
+// Chosen returns the other live VMs, which may be given work.
 func (v *View) Chosen() []topology.VM {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.liveVMs()
 }
 
-// Promotes counts the groups whose row names this start of this VM as a promoter.
+// Promotes counts the groups whose row lists this incarnation of this VM as a
+// promoter.
 func (v *View) Promotes() int {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -120,23 +122,23 @@
 	return v.vms[vm], true
 }
 
-// Parts implements failover.Directory: the groups in which this VM pools a
-// target. They are worked out once after each change of the VMs or the
-// configuration, since that takes a look at every group.
+// Parts implements failover.Directory: it returns the groups in which this VM pools
+// a target. They are computed once after each change of the VMs or the configuration,
+// since that visits every group.
 func (v *View) Parts() []failover.Part {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.knowsOthers() {
+	if !v.canAssign() {
 		return nil
 	}
-	if !v.partsKnown {
-		v.parts = v.workOutParts()
-		v.partsKnown = true
+	if !v.partsValid {
+		v.parts = v.computeParts()
+		v.partsValid = true
 	}
 	return v.parts
 }
 
-func (v *View) workOutParts() []failover.Part {
+func (v *View) computeParts() []failover.Part {
 	if v.conf == nil {
 		return nil
 	}
@@ -153,7 +155,7 @@
 				part.Targets = append(part.Targets, t.ID)
 			}
 			if t.Leaving {
-				continue // It is not to become the primary.
+				continue // A leaving target must not become the primary.
 			}
 			part.Candidates = append(part.Candidates, topology.Promoter{VM: vm.ID, Incarnation: vm.Incarnation, Replica: t.ID})
 		}
@@ -164,8 +166,8 @@
 	return parts
 }
 
-// Witness implements failover.Directory: a live VM of a data centre that is
-// neither this VM's nor the target's, or else one of neither this VM's.
+// Witness implements failover.Directory: it returns a live VM in a data centre that is
+// neither this VM's nor the target's, or else one outside this VM's data centre.
 func (v *View) Witness(id topology.TargetID) (topology.VM, bool) {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -173,7 +175,7 @@
 		return topology.VM{}, false
 	}
 	t, _ := v.conf.Target(id)
-	var second topology.VM
+	var fallback topology.VM
 	for _, vm := range v.liveVMs() {
 		if vm.DataCentre == v.self.DataCentre {
 			continue
@@ -181,12 +183,12 @@
 		if vm.DataCentre != t.DataCentre {
 			return vm, true
 		}
-		second = vm
+		fallback = vm
 	}
-	return second, second.ID != ""
+	return fallback, fallback.ID != ""
 }
 
-// liveVMs returns the other live VMs by id; the caller holds the lock.
+// liveVMs returns the other live VMs, sorted by id; the caller holds the lock.
 func (v *View) liveVMs() []topology.VM {
 	var vms []topology.VM
 	for _, s := range v.members.Statuses() {
@@ -212,7 +214,7 @@
 	return len(relays) > 0 && relays[0] == v.self.ID
 }
 
-// Relays implements relay.Directory: those of this data centre first.
+// Relays implements relay.Directory: it returns the relays of this data centre first.
 func (v *View) Relays() []topology.VM {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -228,8 +230,8 @@
 	return vms
 }
 
-// rotate begins the list at a place of this VM's own: all VMs would else watch
-// the first relay.
+// rotate starts the list at an offset that depends on this VM's id: otherwise all VMs
+// would watch the first relay.
 func (v *View) rotate(vms []topology.VM) []topology.VM {
 	if len(vms) == 0 {
 		return vms
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -1,5 +1,5 @@
-// Package view keeps what a daemon knows: the configuration in force, the group
-// rows and the VMs. Readers get immutable records; every change replaces them.
+// Package view holds a daemon's view of the cluster: the configuration in force, the
+// group rows and the VMs. Readers get immutable records; every change replaces them.
 package view
 
 import (
@@ -33,13 +33,13 @@
 	vms     map[topology.VMID]topology.VM
 
 	parts      []failover.Part
-	partsKnown bool
+	partsValid bool
 
-	started mono.Time
-	listed  bool // rows of other VMs have come
+	started     mono.Time
+	peersListed bool // set once the platform's list has contained another VM
 }
 
-// New makes a view that knows only its own VM.
+// New returns a view that contains only this daemon's VM.
 func New(self topology.VM, clock mono.Clock) *View {
 	v := &View{
 		clock:   clock,
@@ -67,21 +67,22 @@
 	v.refresh()
 }
 
-// Config returns the configuration in force, nil before the first.
+// Config returns the configuration in force, or nil before the first SetConfig.
 func (v *View) Config() *config.View {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.conf
 }
 
-// refresh works out anew which VMs may be chosen; the caller holds the lock.
+// refresh recomputes what depends on the VMs and the configuration; the caller holds
+// the lock.
 func (v *View) refresh() {
 	v.vms = map[topology.VMID]topology.VM{}
 	for _, s := range v.members.Statuses() {
 		v.vms[s.VM.ID] = s.VM
 	}
 	v.live = v.members.View(v.regions())
-	v.partsKnown = false
+	v.partsValid = false
 }
 
 func (v *View) regions() map[topology.DataCentre]string {
@@ -95,7 +96,7 @@
 	return regions
 }
 
-// Group returns the newest known row of a group; nil when there is none.
+// Group returns the newest known row of a group, or nil if there is none.
 func (v *View) Group(id topology.GroupID) *topology.Group {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -113,8 +114,8 @@
 	return rows
 }
 
-// ApplyRows takes in changed rows of the table and returns the groups among
-// them. An older version of a group's row is ignored: answers may come late.
+// ApplyRows takes in changed rows of the table and returns the groups among them. An
+// older version of a group's row doesn't replace a newer one: responses may arrive late.
 func (v *View) ApplyRows(rows []platform.Row) ([]*topology.Group, error) {
 	var groups []*topology.Group
 	for _, row := range rows {
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -30,10 +30,10 @@
   "presets": [{"name": "ordinary"}],
 }`
 
-// Operators see thousands of connections when a daemon starts: it knows itself
-// alone, so every target of the plan falls to it, though others pool them. It
-// waits for the rows of the others, and without them for a while only.
-var _ = Describe("A daemon that starts", func() {
+// Guards against thousands of connections when a daemon starts: it knows only itself,
+// so every configured target is assigned to it, though other VMs pool them. It waits
+// for the rows of the other VMs, but only for a limited time.
+var _ = Describe("A starting daemon", func() {
 	self := topology.VM{ID: "vm-a", DataCentre: "a", Region: "r", Incarnation: 1}
 	other := topology.VM{ID: "vm-b", DataCentre: "b", Region: "r", Incarnation: 1}
 
@@ -48,7 +48,7 @@
 		return v, clock
 	}
 
-	It("takes no part before it has heard of the others, and then its own only", func() {
+	It("pools no target before it knows another VM, and then only those assigned to it", func() {
 		v, _ := start()
 		Expect(v.Parts()).To(BeEmpty())
 		v.SetList([]topology.VM{self})
@@ -58,7 +58,7 @@
 		Expect(v.Parts()[0].Targets).To(Equal([]topology.TargetID{"db-a"}))
 	})
 
-	It("serves what it can when nobody is heard of", func() {
+	It("pools all targets after the grace period if no other VM is known", func() {
 		v, clock := start()
 		clock.T = clock.T.Add(5 * time.Second)
 		Expect(v.Parts()).To(HaveLen(1))
--- a/internal/view/vms.go
+++ b/internal/view/vms.go
@@ -13,13 +13,13 @@
 // VMPrefix begins the keys of the VMs' rows; the VM's id follows.
 const VMPrefix = "vm/"
 
-// VMKey is the key of a VM's row.
+// VMKey returns the key of a VM's row.
 func VMKey(id topology.VMID) string { return VMPrefix + string(id) }
 
-// IsVM reports whether the row is a VM's.
+// IsVM reports whether the key is that of a VM's row.
 func IsVM(key string) bool { return strings.HasPrefix(key, VMPrefix) }
 
-// VMsOf reads the VMs of their rows; it passes over a row that can't be read and
+// VMsOf decodes the VMs from their rows. It skips rows that can't be decoded and
 // returns the last such error.
 func VMsOf(rows []platform.Row) (vms []topology.VM, failure error) {
 	for _, row := range rows {
