--- a/internal/peers/evidence.go
+++ b/internal/peers/evidence.go
@@ -15,8 +15,8 @@
 	"github.com/buckthornshore/buckthornshore/rpc/peerpb"
 )
 
-// Headers by which every message between VMs tells who sent it: signs of life
-// that cost no message of their own.
+// Headers that identify the sender of each message between VMs. They give signs of
+// life without extra messages.
 const (
 	headerVM          = "Bts-Vm"
 	headerDataCentre  = "Bts-Data-Centre"
@@ -25,7 +25,7 @@
 	headerLeaving     = "Bts-Leaving"
 )
 
-// Observer hears what is seen of other VMs.
+// Observer receives evidence about other VMs.
 type Observer interface {
 	Self() topology.VM
 	Observe(membership.Evidence)
@@ -55,7 +55,8 @@
 	}, true
 }
 
-// Handler tells callers who answers and takes their messages as signs of life.
+// Handler adds this VM's identity to responses and reports each request as a sign of
+// life of its sender.
 func Handler(next http.Handler, o Observer, clock mono.Clock) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if vm, ok := readSender(r.Header); ok {
@@ -66,7 +67,7 @@
 	})
 }
 
-// observingTransport turns answers and failures into evidence.
+// observingTransport reports responses and failures as evidence about a VM.
 type observingTransport struct {
 	next     http.RoundTripper
 	vm       topology.VMID
@@ -81,7 +82,7 @@
 	writeSender(r.Header, t.observer.Self())
 	resp, err := t.next.RoundTrip(r)
 	if err != nil {
-		t.failed(r, err, began)
+		t.observeFailure(r, err, began)
 		return resp, err
 	}
 	if vm, ok := readSender(resp.Header); ok {
@@ -90,10 +91,10 @@
 	return resp, nil
 }
 
-// failed counts refused connections, and silence only of messages that are
-// answered at once by a VM that is well: a request that waits for its target
-// says nothing of its pooler's VM.
-func (t *observingTransport) failed(r *http.Request, err error, began mono.Time) {
+// observeFailure reports refused connections, and reports silence only for dials and
+// for messages that a healthy VM answers at once: a time-out of a request that waits
+// for its target says nothing about the VM of the pooler.
+func (t *observingTransport) observeFailure(r *http.Request, err error, began mono.Time) {
 	kind := membership.Silence
 	var op *net.OpError
 	var timeout net.Error
--- a/internal/peers/failure.go
+++ b/internal/peers/failure.go
@@ -1,4 +1,4 @@
-// Package peers holds the Twirp clients of the other VMs and turns results into
+// Package peers holds the Twirp clients for the other VMs and converts results to
 // messages and back.
 package peers
 
@@ -10,7 +10,7 @@
 	"github.com/buckthornshore/buckthornshore/rpc/peerpb"
 )
 
-// Failure writes a result to its message; nil stays nil.
+// Failure converts a result to its message; nil stays nil.
 func Failure(e *result.Error) *peerpb.Failure {
 	if e == nil {
 		return nil
@@ -23,7 +23,7 @@
 	}
 }
 
-// Result reads a result from its message; nil stays nil.
+// Result converts a message to its result; nil stays nil.
 func Result(f *peerpb.Failure) *result.Error {
 	if f == nil {
 		return nil
@@ -36,12 +36,12 @@
 	}
 }
 
-// Position reads a position; nil is the start of the log.
+// Position converts a message to a position; nil is the start of the log.
 func Position(p *peerpb.Position) position.Position {
 	return position.Position{Term: p.GetTerm(), Index: p.GetIndex()}
 }
 
-// PositionTo writes a position.
+// PositionTo converts a position to its message.
 func PositionTo(p position.Position) *peerpb.Position {
 	return &peerpb.Position{Term: p.Term, Index: p.Index}
 }
--- a/internal/peers/local.go
+++ b/internal/peers/local.go
@@ -8,8 +8,8 @@
 	"github.com/buckthornshore/buckthornshore/rpc/peerpb"
 )
 
-// ServeLocally has calls to this VM's own pooler made without the network: the
-// hop costs most of a short statement's CPU. It is called once, before the first
+// ServeLocally makes calls to this VM's own pooler bypass the network: the hop costs
+// most of a short statement's CPU time. It must be called once, before the first
 // request.
 func (t *Table) ServeLocally(address string, p peerpb.Pooler) {
 	t.mu.Lock()
@@ -18,30 +18,30 @@
 	t.local = &localPooler{Pooler: p}
 }
 
-// localPooler calls the pooler as its client over the network would: a call ends
-// with its context, while what it began goes on.
+// localPooler calls the pooler as a client over the network would: a call returns when
+// its context ends, while the request that it started goes on.
 type localPooler struct {
 	peerpb.Pooler
 }
 
-// executed is what Execute returned.
-type executed struct {
+// executeResult holds the return values of Execute.
+type executeResult struct {
 	resp *peerpb.ExecuteResponse
 	err  error
 }
 
-// Execute implements peerpb.Pooler. The pooler gets messages of its own: the
-// entry uses its buffer again when it has given the call up, and the pooler
-// would send the next request's bytes.
+// Execute implements peerpb.Pooler. The pooler gets a copy of the request: the entry
+// reuses its buffer once it has given up the call, and the pooler would otherwise send
+// the next request's bytes.
 func (l *localPooler) Execute(ctx context.Context, req *peerpb.ExecuteRequest) (*peerpb.ExecuteResponse, error) {
-	own, ok := proto.Clone(req).(*peerpb.ExecuteRequest)
+	clone, ok := proto.Clone(req).(*peerpb.ExecuteRequest)
 	if !ok {
 		return l.Pooler.Execute(ctx, req)
 	}
-	done := make(chan executed, 1)
+	done := make(chan executeResult, 1)
 	go func() {
-		resp, err := l.Pooler.Execute(ctx, own)
-		done <- executed{resp, err}
+		resp, err := l.Pooler.Execute(ctx, clone)
+		done <- executeResult{resp, err}
 	}()
 	select {
 	case e := <-done:
--- a/internal/peers/local_test.go
+++ b/internal/peers/local_test.go
@@ -18,25 +18,24 @@
 	RunSpecs(t, "peers")
 }
 
-// slowPooler tells what it reads of a request once it is let go.
+// slowPooler reports the messages of a request once proceed is closed.
 type slowPooler struct {
 	peerpb.Pooler
-	letGo chan struct{}
-	read  chan string
+	proceed chan struct{}
+	read    chan string
 }
 
 func (s *slowPooler) Execute(_ context.Context, req *peerpb.ExecuteRequest) (*peerpb.ExecuteResponse, error) {
-	<-s.letGo
+	<-s.proceed
 	s.read <- string(req.Messages)
 	return &peerpb.ExecuteResponse{HopId: req.HopId}, nil
 }
 
 var _ = Describe("The pooler of the same VM", func() {
-	// The caller is answered when its entry gives the call up, and the pooler
-	// still runs the request that it was given, though the entry's buffer holds
-	// the next one by then.
-	It("outlives a call that was given up, with messages of its own", func() {
-		slow := &slowPooler{letGo: make(chan struct{}), read: make(chan string, 1)}
+	// The entry gives up a call, and the pooler still runs its request. By then the
+	// entry's buffer holds the next request, whose bytes the pooler must not send.
+	It("keeps the messages of a call that the entry has given up", func() {
+		slow := &slowPooler{proceed: make(chan struct{}), read: make(chan string, 1)}
 		table := peers.NewTable(nil, nil, mono.System{})
 		table.ServeLocally("127.0.0.1:1", slow)
 		client := table.Get(topology.VM{ID: "vm-1", PeerAddress: "127.0.0.1:1"})
@@ -46,7 +45,7 @@
 		_, err := client.Execute(ctx, req)
 		Expect(err).To(MatchError(context.Canceled))
 		copy(req.Messages, "other")
-		close(slow.letGo)
+		close(slow.proceed)
 		Eventually(slow.read).Should(Receive(Equal("first")))
 	})
 })
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -15,7 +15,7 @@
 
 // Limits of the connections to one VM.
 const (
-	// idleConnTimeout is short: a connection that goes silent while idle is
+	// idleConnTimeout is short so that a connection that goes silent while idle is
 	// closed before a request can be lost on it.
 	idleConnTimeout     = 2 * time.Second
 	maxIdleConnsPerPeer = 256
@@ -27,22 +27,23 @@
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Client holds the services of one other VM.
+// Client holds the clients of the services of one VM.
 type Client struct {
 	peerpb.Pooler
 	peerpb.Relay
 	peerpb.Failover
 	peerpb.Admin
-	// Fresh opens a connection for each call: it tells a silent connection from
-	// a VM that does not answer.
+	// Fresh opens a connection for each call, which distinguishes a silent
+	// connection from a VM that does not answer.
 	Fresh     peerpb.Pooler
 	transport *http.Transport
 }
 
-// CloseIdle drops idle connections, after one of them has gone silent.
+// CloseIdle closes the idle connections. It is called after one of them has gone
+// silent.
 func (c *Client) CloseIdle() { c.transport.CloseIdleConnections() }
 
-// Table makes and keeps the clients by address. Safe for concurrent use.
+// Table creates and caches clients by address. It is safe for concurrent use.
 type Table struct {
 	dialer   Dialer
 	observer Observer
@@ -50,12 +51,13 @@
 
 	mu      sync.Mutex
 	clients map[string]*Client
-	// local is this VM's own pooler, at localAddress; nil: over the network too.
+	// local is this VM's own pooler, which serves localAddress. If it is nil, calls to
+	// localAddress use the network, too.
 	local        peerpb.Pooler
 	localAddress string
 }
 
-// NewTable makes an empty table.
+// NewTable returns an empty table.
 func NewTable(d Dialer, o Observer, clock mono.Clock) *Table {
 	return &Table{dialer: d, observer: o, clock: clock, clients: map[string]*Client{}}
 }
@@ -72,8 +74,8 @@
 	return c
 }
 
-// Seed returns a client of an address whose VM is not known yet. It is not the
-// client that Get gives out: a failure here is evidence against no VM.
+// Seed returns a client for an address whose VM is not known yet. It is not the client
+// that Get returns: a failure of its calls is evidence against no VM.
 func (t *Table) Seed(address string) *Client { return t.make(topology.VM{PeerAddress: address}) }
 
 func (t *Table) make(vm topology.VM) *Client {
@@ -118,7 +120,7 @@
 	}
 }
 
-// Forget drops the clients of addresses that keep does not name.
+// Forget drops the clients of addresses that are not in keep.
 func (t *Table) Forget(keep map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
