--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -169,7 +169,7 @@
 		Dialer:    p.Dialer,
 		Table:     p.Platform,
 		Publish:   p.Publish,
-		Doubt:     p.Prober,
+		Liveness:  p.Prober,
 		Clock:     p.Clock,
 		Authority: options,
 		Log:       p.Log,
--- a/internal/daemon/leaver.go
+++ b/internal/daemon/leaver.go
@@ -54,7 +54,7 @@
 	if conf == nil {
 		return
 	}
-	for _, part := range l.view.Parts() {
+	for _, part := range l.view.Assignments() {
 		row := l.view.Group(part.Group)
 		if row == nil || !poolsPrimary(part, row) {
 			continue
@@ -72,7 +72,7 @@
 	}
 }
 
-func poolsPrimary(part failover.Part, row *topology.Group) bool {
+func poolsPrimary(part failover.Assignment, row *topology.Group) bool {
 	for _, id := range part.Targets {
 		if id == row.Primary {
 			return true
--- a/internal/daemon/registrar.go
+++ b/internal/daemon/registrar.go
@@ -68,7 +68,7 @@
 }
 
 func (r *registrar) ownRow(id topology.VMID) (topology.VM, bool) {
-	vms, _ := view.VMsOf(r.rows.Rows(view.VMKey(id))) // An unreadable row is written anew.
+	vms, _ := view.DecodeVMs(r.rows.Rows(view.VMKey(id))) // An unreadable row is written anew.
 	for _, vm := range vms {
 		if vm.ID == id {
 			return vm, true
--- a/internal/daemon/roles.go
+++ b/internal/daemon/roles.go
@@ -64,7 +64,7 @@
 	if conf == nil {
 		return
 	}
-	for _, part := range r.view.Parts() {
+	for _, part := range r.view.Assignments() {
 		row := r.view.Group(part.Group)
 		if row == nil {
 			r.create(ctx, conf, part)
@@ -95,7 +95,7 @@
 
 // create writes the first row of a group whose first target this VM pools. The
 // condition that there is none makes a second writer lose.
-func (r *roles) create(ctx context.Context, conf *config.View, part failover.Part) {
+func (r *roles) create(ctx context.Context, conf *config.View, part failover.Assignment) {
 	g, _ := conf.Group(part.Group)
 	staying := slices.DeleteFunc(slices.Clone(g.Targets), func(t config.Target) bool { return t.Leaving })
 	first := staying[0].ID // A document whose targets all leave is refused.
--- a/internal/daemon/spread.go
+++ b/internal/daemon/spread.go
@@ -81,7 +81,7 @@
 	if s.pending {
 		return
 	}
-	vms, err := view.VMsOf(s.store.Rows(view.VMPrefix))
+	vms, err := view.DecodeVMs(s.store.Rows(view.VMPrefix))
 	if err != nil {
 		s.log.Error("event=bad_row", "error", err)
 	}
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -104,10 +104,10 @@
 		IdleSessions: p.Entry.Sessions(),
 		Running:      p.Pooler.RunningAll(),
 	}
-	if len(p.View.Chosen()) == 0 {
+	if len(p.View.LivePeers()) == 0 {
 		return load // Nobody is left to take anything over.
 	}
-	load.Poolers = len(p.View.Parts())
-	load.Promoters = p.View.Promotes()
+	load.Poolers = len(p.View.Assignments())
+	load.Promoters = p.View.PromoterGroupCount()
 	return load
 }
--- a/internal/failover/assign.go
+++ b/internal/failover/assign.go
@@ -13,7 +13,7 @@
 // assign updates the groups in which this VM is the holder or may promote a
 // replica.
 func (d *Driver) assign(ctx context.Context) {
-	parts := d.o.Directory.Parts()
+	parts := d.o.Directory.Assignments()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.o.Clock.Now()
@@ -26,7 +26,7 @@
 		if present[id] {
 			continue
 		}
-		if part := d.withListedReplica(Part{Group: id}); len(part.Targets) > 0 {
+		if part := d.withListedReplica(Assignment{Group: id}); len(part.Targets) > 0 {
 			d.assignPart(ctx, part, now)
 			continue
 		}
@@ -65,7 +65,7 @@
 	if listedReplicaIn(row, d.o.Directory.Self()) == "" {
 		return false
 	}
-	d.parts[row.ID] = Part{Group: row.ID}
+	d.parts[row.ID] = Assignment{Group: row.ID}
 	return true
 }
 
@@ -75,7 +75,7 @@
 // before the list is updated. The listed VM no longer watches the group, the new
 // pooler may not promote yet, and callers' writes wait until the promises of a new
 // list have lapsed.
-func (d *Driver) withListedReplica(part Part) Part {
+func (d *Driver) withListedReplica(part Assignment) Assignment {
 	replica := d.listedReplica(part.Group)
 	if replica == "" || slices.Contains(part.Targets, replica) {
 		return part
@@ -84,7 +84,7 @@
 	return part
 }
 
-func (d *Driver) assignPart(ctx context.Context, part Part, now mono.Time) {
+func (d *Driver) assignPart(ctx context.Context, part Assignment, now mono.Time) {
 	d.parts[part.Group] = part
 	row := d.o.Directory.Group(part.Group)
 	if row == nil {
@@ -109,7 +109,7 @@
 
 // promotableReplica returns the replica that this VM may promote: the one for
 // which the group's row lists it, or else one that it pools.
-func (d *Driver) promotableReplica(part Part, row *topology.Group) topology.TargetID {
+func (d *Driver) promotableReplica(part Assignment, row *topology.Group) topology.TargetID {
 	if replica := d.listedReplica(part.Group); replica != "" {
 		return replica
 	}
@@ -142,7 +142,7 @@
 			list = append(list, p)
 			continue
 		}
-		d.o.Doubt.Ask(ctx, p.VM)
+		d.o.Liveness.Ask(ctx, p.VM)
 		list = append(list, entriesFor(row, p.Replica)...)
 	}
 	return onePerVM(list, d.sameDataCentre)
--- a/internal/failover/driver.go
+++ b/internal/failover/driver.go
@@ -37,8 +37,8 @@
 type Directory interface {
 	Self() topology.VM
 	VM(topology.VMID) (topology.VM, bool)
-	// Parts lists the groups in which this VM pools a target.
-	Parts() []Part
+	// Assignments lists the groups in which this VM pools a target.
+	Assignments() []Assignment
 	Target(topology.TargetID) (pooler.TargetLimits, bool)
 	PoolerOf(topology.TargetID) (topology.VM, bool)
 	// Witness picks a VM outside the data centres of this VM and of the target.
@@ -48,8 +48,8 @@
 	HeardWithin(vm topology.VMID, d time.Duration) bool
 }
 
-// Part describes what this VM does for a group.
-type Part struct {
+// Assignment describes what this VM does for a group.
+type Assignment struct {
 	Group topology.GroupID
 	// Targets are the targets of the group that this VM pools.
 	Targets []topology.TargetID
@@ -57,8 +57,8 @@
 	Candidates []topology.Promoter
 }
 
-// Doubter checks whether a VM is alive.
-type Doubter interface {
+// LivenessChecker checks whether a VM is alive.
+type LivenessChecker interface {
 	Ask(ctx context.Context, vm topology.VMID)
 }
 
@@ -71,8 +71,8 @@
 	Table     platform.Table
 	// Publish announces a newly committed row to this VM and its peers.
 	Publish func(platform.Row)
-	// Doubt checks whether a VM is alive.
-	Doubt     Doubter
+	// Liveness checks whether a VM is alive.
+	Liveness  LivenessChecker
 	Clock     mono.Clock
 	Authority authority.Options
 	Log       *slog.Logger
@@ -86,7 +86,7 @@
 	holder       *authority.Holder
 	promoter     *authority.Promoter
 	detector     *authority.Detector
-	parts        map[topology.GroupID]Part
+	parts        map[topology.GroupID]Assignment
 	held         map[topology.GroupID]topology.TargetID
 	loggedTerms  map[topology.GroupID]uint64            // last logged term
 	health       map[topology.TargetID]authority.Health // last logged health
@@ -108,7 +108,7 @@
 		holder:       authority.NewHolder(self, o.Authority),
 		promoter:     authority.NewPromoter(self, o.Authority, rand.New(rand.NewPCG(seed, seed)), o.Clock.Now()),
 		detector:     authority.NewDetector(),
-		parts:        map[topology.GroupID]Part{},
+		parts:        map[topology.GroupID]Assignment{},
 		held:         map[topology.GroupID]topology.TargetID{},
 		loggedTerms:  map[topology.GroupID]uint64{},
 		health:       map[topology.TargetID]authority.Health{},
@@ -171,7 +171,7 @@
 
 // reportHealth passes the health of the group's primary, as seen from this VM, to
 // the holder and the promoter.
-func (d *Driver) reportHealth(id topology.GroupID, part Part, now mono.Time) {
+func (d *Driver) reportHealth(id topology.GroupID, part Assignment, now mono.Time) {
 	row := d.o.Directory.Group(id)
 	if row == nil {
 		return
@@ -244,7 +244,7 @@
 		return
 	}
 	if vm, ok := d.o.Directory.PoolerOf(row.Primary); ok {
-		d.o.Doubt.Ask(context.Background(), vm.ID)
+		d.o.Liveness.Ask(context.Background(), vm.ID)
 	}
 }
 
--- a/internal/failover/handover_test.go
+++ b/internal/failover/handover_test.go
@@ -31,15 +31,16 @@
 	net.Dialer
 	limits pooler.TargetLimits
 	row    *topology.Group
-	parts  []Part
+	parts  []Assignment
 }
 
 func (s *fakeDaemon) Self() topology.VM {
 	return topology.VM{ID: "vm-1", Incarnation: 1, DataCentre: "x"}
 }
 
-func (s *fakeDaemon) VM(topology.VMID) (topology.VM, bool)                 { return topology.VM{}, false }
-func (s *fakeDaemon) Parts() []Part                                        { return s.parts }
+func (s *fakeDaemon) VM(topology.VMID) (topology.VM, bool) { return topology.VM{}, false }
+
+func (s *fakeDaemon) Assignments() []Assignment                            { return s.parts }
 func (s *fakeDaemon) Target(topology.TargetID) (pooler.TargetLimits, bool) { return s.limits, true }
 
 func (s *fakeDaemon) PoolerOf(topology.TargetID) (topology.VM, bool) { return topology.VM{}, false }
@@ -75,7 +76,7 @@
 	Expect(db.Promote(1)).To(Succeed())
 	s := &fakeDaemon{
 		row:   &topology.Group{ID: groupUnderTest, Version: 1, Term: 1, Primary: primaryTarget},
-		parts: []Part{{Group: groupUnderTest, Targets: []topology.TargetID{primaryTarget}}},
+		parts: []Assignment{{Group: groupUnderTest, Targets: []topology.TargetID{primaryTarget}}},
 	}
 	s.limits = pooler.TargetLimits{
 		Target: topology.Target{ID: primaryTarget, Group: groupUnderTest, Address: db.Address()},
@@ -85,7 +86,7 @@
 	p := pooler.New(pooler.Options{Dialer: s, Directory: s, Clock: mono.System{}, Log: log})
 	p.Guard(s, s)
 	DeferCleanup(p.Close)
-	d := New(Options{Directory: s, Pooler: p, Doubt: s, Clock: mono.System{}, Authority: authority.DefaultOptions(), Log: log})
+	d := New(Options{Directory: s, Pooler: p, Liveness: s, Clock: mono.System{}, Authority: authority.DefaultOptions(), Log: log})
 	return s, p, d
 }
 
--- a/internal/view/members.go
+++ b/internal/view/members.go
@@ -52,16 +52,16 @@
 	v.refresh()
 }
 
-// Chosen returns the other live VMs, which may be given work.
-func (v *View) Chosen() []topology.VM {
+// LivePeers returns the other live VMs, which may be given work.
+func (v *View) LivePeers() []topology.VM {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.liveVMs()
 }
 
-// Promotes counts the groups whose row lists this incarnation of this VM as a
+// PromoterGroupCount counts the groups whose row lists this incarnation of this VM as a
 // promoter.
-func (v *View) Promotes() int {
+func (v *View) PromoterGroupCount() int {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	n := 0
@@ -122,10 +122,10 @@
 	return v.vms[vm], true
 }
 
-// Parts implements failover.Directory: it returns the groups in which this VM pools
+// Assignments implements failover.Directory: it returns the groups in which this VM pools
 // a target. They are computed once after each change of the VMs or the configuration,
 // since that visits every group.
-func (v *View) Parts() []failover.Part {
+func (v *View) Assignments() []failover.Assignment {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !v.canAssign() {
@@ -138,14 +138,14 @@
 	return v.parts
 }
 
-func (v *View) computeParts() []failover.Part {
+func (v *View) computeParts() []failover.Assignment {
 	if v.conf == nil {
 		return nil
 	}
-	var parts []failover.Part
+	var parts []failover.Assignment
 	for _, id := range v.conf.AllGroups() {
 		g, _ := v.conf.Group(id)
-		part := failover.Part{Group: id}
+		part := failover.Assignment{Group: id}
 		for _, t := range g.Targets {
 			vm, ok := v.poolerOf(t.ID)
 			if !ok {
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -32,7 +32,7 @@
 	live    *membership.View
 	vms     map[topology.VMID]topology.VM
 
-	parts      []failover.Part
+	parts      []failover.Assignment
 	partsValid bool
 
 	started     mono.Time
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -50,18 +50,18 @@
 
 	It("pools no target before it knows another VM, and then only those assigned to it", func() {
 		v, _ := start()
-		Expect(v.Parts()).To(BeEmpty())
+		Expect(v.Assignments()).To(BeEmpty())
 		v.SetList([]topology.VM{self})
-		Expect(v.Parts()).To(BeEmpty())
+		Expect(v.Assignments()).To(BeEmpty())
 		v.SetList([]topology.VM{self, other})
-		Expect(v.Parts()).To(HaveLen(1))
-		Expect(v.Parts()[0].Targets).To(Equal([]topology.TargetID{"db-a"}))
+		Expect(v.Assignments()).To(HaveLen(1))
+		Expect(v.Assignments()[0].Targets).To(Equal([]topology.TargetID{"db-a"}))
 	})
 
 	It("pools all targets after the grace period if no other VM is known", func() {
 		v, clock := start()
 		clock.T = clock.T.Add(5 * time.Second)
-		Expect(v.Parts()).To(HaveLen(1))
-		Expect(v.Parts()[0].Targets).To(ConsistOf(topology.TargetID("db-a"), topology.TargetID("db-b")))
+		Expect(v.Assignments()).To(HaveLen(1))
+		Expect(v.Assignments()[0].Targets).To(ConsistOf(topology.TargetID("db-a"), topology.TargetID("db-b")))
 	})
 })
--- a/internal/view/vms.go
+++ b/internal/view/vms.go
@@ -19,9 +19,9 @@
 // IsVM reports whether the key is that of a VM's row.
 func IsVM(key string) bool { return strings.HasPrefix(key, VMPrefix) }
 
-// VMsOf decodes the VMs from their rows. It skips rows that can't be decoded and
+// DecodeVMs decodes the VMs from their rows. It skips rows that can't be decoded and
 // returns the last such error.
-func VMsOf(rows []platform.Row) (vms []topology.VM, failure error) {
+func DecodeVMs(rows []platform.Row) (vms []topology.VM, failure error) {
 	for _, row := range rows {
 		if row.Deleted || !IsVM(row.Key) {
 			continue
