--- a/internal/failover/assign.go
+++ b/internal/failover/assign.go
@@ -13,24 +13,24 @@
 // assign updates the groups in which this VM is the holder or may promote a
 // replica.
 func (d *Driver) assign(ctx context.Context) {
-	parts := d.o.Directory.Assignments()
+	assignments := d.o.Directory.Assignments()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.o.Clock.Now()
 	present := map[topology.GroupID]bool{}
-	for _, part := range parts {
-		present[part.Group] = true
-		d.assignPart(ctx, d.withListedReplica(part), now)
+	for _, assignment := range assignments {
+		present[assignment.Group] = true
+		d.updateAssignment(ctx, d.withListedReplica(assignment), now)
 	}
-	for id := range d.parts {
+	for id := range d.assignments {
 		if present[id] {
 			continue
 		}
-		if part := d.withListedReplica(Assignment{Group: id}); len(part.Targets) > 0 {
-			d.assignPart(ctx, part, now)
+		if assignment := d.withListedReplica(Assignment{Group: id}); len(assignment.Targets) > 0 {
+			d.updateAssignment(ctx, assignment, now)
 			continue
 		}
-		d.dropPart(id)
+		d.dropAssignment(id)
 	}
 	d.unwatchOthers()
 }
@@ -65,7 +65,7 @@
 	if listedReplicaIn(row, d.o.Directory.Self()) == "" {
 		return false
 	}
-	d.parts[row.ID] = Assignment{Group: row.ID}
+	d.assignments[row.ID] = Assignment{Group: row.ID}
 	return true
 }
 
@@ -75,18 +75,18 @@
 // before the list is updated. The listed VM no longer watches the group, the new
 // pooler may not promote yet, and callers' writes wait until the promises of a new
 // list have lapsed.
-func (d *Driver) withListedReplica(part Assignment) Assignment {
-	replica := d.listedReplica(part.Group)
-	if replica == "" || slices.Contains(part.Targets, replica) {
-		return part
+func (d *Driver) withListedReplica(assignment Assignment) Assignment {
+	replica := d.listedReplica(assignment.Group)
+	if replica == "" || slices.Contains(assignment.Targets, replica) {
+		return assignment
 	}
-	part.Targets = append(slices.Clone(part.Targets), replica)
-	return part
+	assignment.Targets = append(slices.Clone(assignment.Targets), replica)
+	return assignment
 }
 
-func (d *Driver) assignPart(ctx context.Context, part Assignment, now mono.Time) {
-	d.parts[part.Group] = part
-	row := d.o.Directory.Group(part.Group)
+func (d *Driver) updateAssignment(ctx context.Context, assignment Assignment, now mono.Time) {
+	d.assignments[assignment.Group] = assignment
+	row := d.o.Directory.Group(assignment.Group)
 	if row == nil {
 		return
 	}
@@ -94,26 +94,26 @@
 	d.holder.ObserveRow(read, now)
 	d.promoter.ObserveRow(read, now)
 	d.watch(row.Primary, now)
-	if t := d.promotableReplica(part, row); t != "" {
-		d.promoter.Stand(part.Group, t)
+	if t := d.promotableReplica(assignment, row); t != "" {
+		d.promoter.Stand(assignment.Group, t)
 	}
-	if slices.Contains(part.Targets, row.Primary) {
-		d.held[part.Group] = row.Primary
-		d.holder.Serve(part.Group, row.Primary)
-		d.holder.Candidates(part.Group, d.candidatesFor(ctx, row, part.Candidates))
+	if slices.Contains(assignment.Targets, row.Primary) {
+		d.held[assignment.Group] = row.Primary
+		d.holder.Serve(assignment.Group, row.Primary)
+		d.holder.Candidates(assignment.Group, d.candidatesFor(ctx, row, assignment.Candidates))
 	} else {
-		d.dropHeld(part.Group)
+		d.dropHeld(assignment.Group)
 	}
 	d.logTerm(row)
 }
 
 // promotableReplica returns the replica that this VM may promote: the one for
 // which the group's row lists it, or else one that it pools.
-func (d *Driver) promotableReplica(part Assignment, row *topology.Group) topology.TargetID {
-	if replica := d.listedReplica(part.Group); replica != "" {
+func (d *Driver) promotableReplica(assignment Assignment, row *topology.Group) topology.TargetID {
+	if replica := d.listedReplica(assignment.Group); replica != "" {
 		return replica
 	}
-	for _, t := range part.Targets {
+	for _, t := range assignment.Targets {
 		if t != row.Primary {
 			return t
 		}
@@ -203,16 +203,16 @@
 	d.o.Log.Info("event=primary", "group", row.ID, "term", row.Term, "primary", row.Primary, "version", row.Version)
 }
 
-func (d *Driver) dropPart(id topology.GroupID) {
+func (d *Driver) dropAssignment(id topology.GroupID) {
 	d.dropHeld(id)
 	if _, held := d.held[id]; held {
 		return
 	}
-	for _, t := range d.parts[id].Targets {
+	for _, t := range d.assignments[id].Targets {
 		delete(d.polling, t)
 	}
 	delete(d.pollStates, id)
-	delete(d.parts, id)
+	delete(d.assignments, id)
 }
 
 // dropHeld ends this VM's role as the holder of a group, but not while a request or a
--- a/internal/failover/driver.go
+++ b/internal/failover/driver.go
@@ -86,7 +86,7 @@
 	holder       *authority.Holder
 	promoter     *authority.Promoter
 	detector     *authority.Detector
-	parts        map[topology.GroupID]Assignment
+	assignments  map[topology.GroupID]Assignment
 	held         map[topology.GroupID]topology.TargetID
 	loggedTerms  map[topology.GroupID]uint64            // last logged term
 	health       map[topology.TargetID]authority.Health // last logged health
@@ -108,7 +108,7 @@
 		holder:       authority.NewHolder(self, o.Authority),
 		promoter:     authority.NewPromoter(self, o.Authority, rand.New(rand.NewPCG(seed, seed)), o.Clock.Now()),
 		detector:     authority.NewDetector(),
-		parts:        map[topology.GroupID]Assignment{},
+		assignments:  map[topology.GroupID]Assignment{},
 		held:         map[topology.GroupID]topology.TargetID{},
 		loggedTerms:  map[topology.GroupID]uint64{},
 		health:       map[topology.TargetID]authority.Health{},
@@ -156,8 +156,8 @@
 func (d *Driver) tick(ctx context.Context) {
 	d.mu.Lock()
 	now := d.o.Clock.Now()
-	for id, part := range d.parts {
-		d.reportHealth(id, part, now)
+	for id, assignment := range d.assignments {
+		d.reportHealth(id, assignment, now)
 	}
 	actions := d.detector.Tick(now)
 	actions = append(actions, d.holder.Tick(now)...)
@@ -171,7 +171,7 @@
 
 // reportHealth passes the health of the group's primary, as seen from this VM, to
 // the holder and the promoter.
-func (d *Driver) reportHealth(id topology.GroupID, part Assignment, now mono.Time) {
+func (d *Driver) reportHealth(id topology.GroupID, assignment Assignment, now mono.Time) {
 	row := d.o.Directory.Group(id)
 	if row == nil {
 		return
@@ -184,7 +184,7 @@
 	if _, ok := d.held[id]; ok {
 		d.holder.SetHealth(id, health)
 	}
-	for _, t := range part.Targets {
+	for _, t := range assignment.Targets {
 		if t != row.Primary {
 			d.promoter.Judge(id, health, now)
 		}
@@ -202,7 +202,7 @@
 		at = now.Add(-time.Since(began))
 	}
 	for _, row := range rows {
-		if _, ok := d.parts[row.ID]; !ok && !d.joinIfListed(row) {
+		if _, ok := d.assignments[row.ID]; !ok && !d.joinIfListed(row) {
 			continue
 		}
 		d.observeRow(authority.RowRead{Row: row, Began: at}, now)
--- a/internal/failover/handover_test.go
+++ b/internal/failover/handover_test.go
@@ -26,12 +26,12 @@
 )
 
 // fakeDaemon implements what a Driver and its Pooler need from the rest of a daemon, for
-// one group whose primary this VM pools as long as parts contains it.
+// one group whose primary this VM pools as long as assignments contains it.
 type fakeDaemon struct {
 	net.Dialer
-	limits pooler.TargetLimits
-	row    *topology.Group
-	parts  []Assignment
+	limits      pooler.TargetLimits
+	row         *topology.Group
+	assignments []Assignment
 }
 
 func (s *fakeDaemon) Self() topology.VM {
@@ -40,7 +40,7 @@
 
 func (s *fakeDaemon) VM(topology.VMID) (topology.VM, bool) { return topology.VM{}, false }
 
-func (s *fakeDaemon) Assignments() []Assignment                            { return s.parts }
+func (s *fakeDaemon) Assignments() []Assignment                            { return s.assignments }
 func (s *fakeDaemon) Target(topology.TargetID) (pooler.TargetLimits, bool) { return s.limits, true }
 
 func (s *fakeDaemon) PoolerOf(topology.TargetID) (topology.VM, bool) { return topology.VM{}, false }
@@ -75,8 +75,8 @@
 	DeferCleanup(db.Close)
 	Expect(db.Promote(1)).To(Succeed())
 	s := &fakeDaemon{
-		row:   &topology.Group{ID: groupUnderTest, Version: 1, Term: 1, Primary: primaryTarget},
-		parts: []Assignment{{Group: groupUnderTest, Targets: []topology.TargetID{primaryTarget}}},
+		row:         &topology.Group{ID: groupUnderTest, Version: 1, Term: 1, Primary: primaryTarget},
+		assignments: []Assignment{{Group: groupUnderTest, Targets: []topology.TargetID{primaryTarget}}},
 	}
 	s.limits = pooler.TargetLimits{
 		Target: topology.Target{ID: primaryTarget, Group: groupUnderTest, Address: db.Address()},
@@ -112,7 +112,7 @@
 			answered <- resp
 		}()
 		Eventually(func() int { return p.Running(primaryTarget) }).Should(Equal(1))
-		s.parts = nil
+		s.assignments = nil
 		d.assign(context.Background())
 		_, refused := d.Right(groupUnderTest, 1)
 		Expect(refused == nil || refused.Code != result.WrongPooler).To(BeTrue(), "the right is gone: %v", refused)
--- a/internal/failover/probe.go
+++ b/internal/failover/probe.go
@@ -32,7 +32,7 @@
 // a moment probes them from then on.
 func (d *Driver) unwatchOthers() {
 	primaries := map[topology.TargetID]bool{}
-	for id := range d.parts {
+	for id := range d.assignments {
 		if row := d.o.Directory.Group(id); row != nil {
 			primaries[row.Primary] = true
 		}
--- a/internal/failover/status.go
+++ b/internal/failover/status.go
@@ -80,9 +80,9 @@
 
 func (d *Driver) dueTargets() (due []dueTarget) {
 	d.withLock(func(now mono.Time) {
-		for id, part := range d.parts {
+		for id, assignment := range d.assignments {
 			period := d.statusPeriod(id, now)
-			for _, t := range part.Targets {
+			for _, t := range assignment.Targets {
 				if d.startIfDue(t, period, now) {
 					due = append(due, dueTarget{group: id, target: t})
 				}
--- a/internal/view/members.go
+++ b/internal/view/members.go
@@ -59,8 +59,8 @@
 	return v.liveVMs()
 }
 
-// PromoterGroupCount counts the groups whose row lists this incarnation of this VM as a
-// promoter.
+// PromoterGroupCount counts the groups whose row lists this incarnation of this VM
+// as a promoter.
 func (v *View) PromoterGroupCount() int {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -122,48 +122,48 @@
 	return v.vms[vm], true
 }
 
-// Assignments implements failover.Directory: it returns the groups in which this VM pools
-// a target. They are computed once after each change of the VMs or the configuration,
-// since that visits every group.
+// Assignments implements failover.Directory: it returns the groups in which this VM
+// pools a target. They are computed once after each change of the VMs or the
+// configuration, since that visits every group.
 func (v *View) Assignments() []failover.Assignment {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !v.canAssign() {
 		return nil
 	}
-	if !v.partsValid {
-		v.parts = v.computeParts()
-		v.partsValid = true
+	if !v.assignmentsValid {
+		v.assignments = v.computeAssignments()
+		v.assignmentsValid = true
 	}
-	return v.parts
+	return v.assignments
 }
 
-func (v *View) computeParts() []failover.Assignment {
+func (v *View) computeAssignments() []failover.Assignment {
 	if v.conf == nil {
 		return nil
 	}
-	var parts []failover.Assignment
+	var assignments []failover.Assignment
 	for _, id := range v.conf.AllGroups() {
 		g, _ := v.conf.Group(id)
-		part := failover.Assignment{Group: id}
+		assignment := failover.Assignment{Group: id}
 		for _, t := range g.Targets {
 			vm, ok := v.poolerOf(t.ID)
 			if !ok {
 				continue
 			}
 			if vm.ID == v.self.ID {
-				part.Targets = append(part.Targets, t.ID)
+				assignment.Targets = append(assignment.Targets, t.ID)
 			}
 			if t.Leaving {
 				continue // A leaving target must not become the primary.
 			}
-			part.Candidates = append(part.Candidates, topology.Promoter{VM: vm.ID, Incarnation: vm.Incarnation, Replica: t.ID})
+			assignment.Candidates = append(assignment.Candidates, topology.Promoter{VM: vm.ID, Incarnation: vm.Incarnation, Replica: t.ID})
 		}
-		if len(part.Targets) > 0 {
-			parts = append(parts, part)
+		if len(assignment.Targets) > 0 {
+			assignments = append(assignments, assignment)
 		}
 	}
-	return parts
+	return assignments
 }
 
 // Witness implements failover.Directory: it returns a live VM in a data centre that is
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -32,8 +32,8 @@
 	live    *membership.View
 	vms     map[topology.VMID]topology.VM
 
-	parts      []failover.Assignment
-	partsValid bool
+	assignments      []failover.Assignment
+	assignmentsValid bool
 
 	started     mono.Time
 	peersListed bool // set once the platform's list has contained another VM
@@ -82,7 +82,7 @@
 		v.vms[s.VM.ID] = s.VM
 	}
 	v.live = v.members.View(v.regions())
-	v.partsValid = false
+	v.assignmentsValid = false
 }
 
 func (v *View) regions() map[topology.DataCentre]string {
