--- a/pkg/config/decode.go
+++ b/pkg/config/decode.go
@@ -11,12 +11,12 @@
 	"github.com/tailscale/hujson"
 )
 
-// decoder fills records from the syntax tree. It goes on after a problem, so
-// that an operator sees all of them at once.
+// decoder fills records from the syntax tree. It continues after a problem,
+// so that an operator sees all problems at once.
 type decoder struct {
 	*report
-	// fields keeps each record type's keys: a large document has thousands of
-	// records of a few types.
+	// fields caches the keys of each record type: a large document has thousands
+	// of records of a few types.
 	fields map[reflect.Type][]field
 }
 
@@ -53,7 +53,7 @@
 	}
 }
 
-// fail reports a value that can't be used.
+// fail reports a value that can't be used and marks its path as failed.
 func (d *decoder) fail(path, what, allowed string) {
 	d.failed[path] = true
 	d.add(path, what, allowed)
@@ -82,19 +82,19 @@
 
 func (d *decoder) member(m *hujson.ObjectMember, out reflect.Value, path string, fields []field, seen []bool) {
 	key := m.Name.Value.(hujson.Literal).String()
-	at := slices.IndexFunc(fields, func(f field) bool { return f.key == key })
-	if at < 0 {
+	fieldIndex := slices.IndexFunc(fields, func(f field) bool { return f.key == key })
+	if fieldIndex < 0 {
 		what := fmt.Sprintf("unknown key %q", key)
 		d.problems = append(d.problems, d.problem(m.Name.StartOffset, joinPath(path, key), what, listAndSuggest(key, keysOf(fields))))
 		return
 	}
-	if seen[at] {
+	if seen[fieldIndex] {
 		what := fmt.Sprintf("key %q is given twice", key)
 		d.problems = append(d.problems, d.problem(m.Name.StartOffset, joinPath(path, key), what, "once"))
 		return
 	}
-	seen[at] = true
-	f := fields[at]
+	seen[fieldIndex] = true
+	f := fields[fieldIndex]
 	before := len(d.problems)
 	d.value(&m.Value, out.Field(f.index), joinPath(path, key))
 	if len(d.problems) == before {
@@ -166,7 +166,7 @@
 	out.SetInt(int64(parsed))
 }
 
-// bounds checks the limits in the field's tags.
+// bounds checks a value against the min and max tags of its field.
 func (d *decoder) bounds(out reflect.Value, f field, path string) {
 	if out.Kind() == reflect.Pointer {
 		out = out.Elem()
@@ -182,14 +182,14 @@
 	}
 }
 
-// boundOf reads a bound from a tag: a number or a duration.
+// boundOf parses a min or max tag, which holds a number or a duration.
 func boundOf(tag string) int64 {
 	if n, err := strconv.ParseInt(tag, 10, 64); err == nil {
 		return n
 	}
 	bound, err := time.ParseDuration(tag)
 	if err != nil {
-		panic(err) // A tag of this package is wrong; any test finds it.
+		panic(err) // A tag in this package is malformed, which any test detects.
 	}
 	return int64(bound)
 }
--- a/pkg/config/defaults.go
+++ b/pkg/config/defaults.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Defaults of keys that the document leaves out.
+// Default values of keys that the document omits.
 const (
 	DefaultWeight      = 1
 	DefaultMaxSessions = 2000
@@ -26,7 +26,7 @@
 	DefaultDrainTime                = Duration(30 * time.Second)
 )
 
-// defaulter is a record that fills itself with defaults before its keys are read.
+// defaulter is a record that sets its defaults before its keys are decoded.
 type defaulter interface{ setDefaults() }
 
 func (d *Document) setDefaults() {
--- a/pkg/config/diff.go
+++ b/pkg/config/diff.go
@@ -8,15 +8,15 @@
 
 // Change is one difference between two documents.
 type Change struct {
-	// Path names records by their own names, not by their place in the file:
+	// Path identifies records by name, not by index, as in
 	// classes[quota-ledger/quota-balance].deadline.
 	Path string `json:"path"`
-	// Old is empty for what was added, New for what was removed.
+	// Old is empty for an addition, New for a removal.
 	Old string `json:"old,omitempty"`
 	New string `json:"new,omitempty"`
 }
 
-// String writes the change in one line.
+// String formats the change on one line.
 func (c Change) String() string {
 	switch {
 	case c.Old == "":
@@ -27,8 +27,8 @@
 	return fmt.Sprintf("~ %s: %s -> %s", c.Path, c.Old, c.New)
 }
 
-// keyed is a record that is found by a name; the order of such records in the
-// file means nothing, so Diff matches them by key.
+// keyed is a record that is identified by a name. The order of such records in
+// the file has no meaning, so Diff matches them by key.
 type keyed interface{ key() string }
 
 func (d DataCentre) key() string     { return string(d.Name) }
@@ -41,8 +41,8 @@
 func (o ClassOverride) key() string  { return o.Service + "/" + o.Class }
 func (o MemberOverride) key() string { return o.Member }
 
-// Diff returns what changes from the old document to the new one, in the order
-// of the records; what was removed comes first in each table.
+// Diff returns the changes from one document to another, in the order of the
+// records. In each table, removals come first.
 func Diff(before, after *Document) []Change {
 	var d differ
 	d.value("", reflect.ValueOf(before).Elem(), reflect.ValueOf(after).Elem())
@@ -76,12 +76,12 @@
 	}
 	for i := range after.Len() {
 		key := keyOf(after.Index(i))
-		was, ok := old[key]
+		oldRecord, ok := old[key]
 		if !ok {
 			d.changes = append(d.changes, Change{Path: recordPath(path, key), New: text(after.Index(i))})
 			continue
 		}
-		d.value(recordPath(path, key), was, after.Index(i))
+		d.value(recordPath(path, key), oldRecord, after.Index(i))
 	}
 }
 
@@ -97,7 +97,7 @@
 
 func recordPath(table, key string) string { return table + "[" + key + "]" }
 
-// text writes a value as the file would; an override that is absent is empty.
+// text formats a value as JSON, as in the file. An absent override is empty.
 func text(v reflect.Value) string {
 	if v.Kind() == reflect.Pointer && v.IsNil() {
 		return ""
--- a/pkg/config/examples_test.go
+++ b/pkg/config/examples_test.go
@@ -32,7 +32,7 @@
 
 var _ = Describe("The examples", func() {
 	for _, name := range []string{"kalakvoot.json", "permessi.json", "both.json"} {
-		It(name+" is valid without a warning, under each preset, and survives being written", func() {
+		It(name+" is valid without warnings under each preset and is equal after encoding and parsing", func() {
 			doc := example(name)
 			for _, preset := range []string{"ordinary", "peak", "maintenance"} {
 				_, err := config.Effective(doc, preset)
@@ -40,9 +40,9 @@
 			}
 			raw, err := json.Marshal(doc)
 			Expect(err).NotTo(HaveOccurred())
-			again, problems := config.Parse("written", raw)
+			reparsed, problems := config.Parse("encoded", raw)
 			Expect(problems).To(BeEmpty())
-			Expect(again).To(Equal(doc))
+			Expect(reparsed).To(Equal(doc))
 		})
 	}
 })
--- a/pkg/config/hash.go
+++ b/pkg/config/hash.go
@@ -8,9 +8,9 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// Canonical writes the document as plain JSON with every default spelt out, so
-// that a later version's other defaults do not change what was accepted. Parse
-// reads it back to an equal document.
+// Canonical encodes the document as plain JSON with every default written out,
+// so that different defaults in a later version do not change an accepted
+// document. Parse decodes the result to an equal document.
 func Canonical(doc *Document) ([]byte, error) {
 	raw, err := json.Marshal(doc)
 	if err != nil {
@@ -19,7 +19,8 @@
 	return raw, nil
 }
 
-// Hash names a canonical document by its content: SHA-256 in hexadecimal.
+// Hash returns the SHA-256 of a canonical document in hexadecimal. It identifies
+// the document by its content.
 func Hash(canonical []byte) string {
 	sum := sha256.Sum256(canonical)
 	return hex.EncodeToString(sum[:])
--- a/pkg/config/inforce.go
+++ b/pkg/config/inforce.go
@@ -5,8 +5,8 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Versions names an accepted document and an accepted switch of the preset. Both
-// count from 1 and never go back; 0 is none.
+// Versions holds the versions of an accepted document and of an accepted preset
+// switch. Both count from 1 and never decrease; 0 means none.
 type Versions struct {
 	Config uint64 `json:"config"`
 	Preset uint64 `json:"preset"`
@@ -17,7 +17,7 @@
 	return v.Config >= w.Config && v.Preset >= w.Preset
 }
 
-// Offer is what the platform or a peer holds.
+// Offer is the configuration that the platform or a peer holds.
 type Offer struct {
 	Versions Versions
 	Document *Document
@@ -25,8 +25,8 @@
 	Preset   string
 }
 
-// InForce is what one daemon has in force. The zero value has nothing. It is not
-// safe for concurrent use; the View that it gives out is.
+// InForce is the configuration in force on one daemon. The zero value has none.
+// It is not safe for concurrent use; the View that it returns is.
 type InForce struct {
 	held Offer
 	view *View
@@ -35,22 +35,23 @@
 // Versions returns the versions in force.
 func (f *InForce) Versions() Versions { return f.held.Versions }
 
-// Held returns what is in force, to be offered to peers.
+// Held returns the configuration in force, to be offered to peers.
 func (f *InForce) Held() Offer { return f.held }
 
-// View returns the resolved configuration in force, nil before the first.
+// View returns the resolved configuration in force, or nil when there is none.
 func (f *InForce) View() *View { return f.view }
 
-// Accept takes over what is newer in the offer and reports whether anything
-// changed. It refuses with ConfigTooOld what is older in one part and newer in
-// none, with UnknownPreset a document that lacks the newest preset known here,
-// and with InvariantBroken another content under a version that is held.
+// Accept adopts the document and the preset of the offer where they are newer,
+// and reports whether anything changed. It returns
+//   - ConfigTooOld when one of them is older and neither is newer,
+//   - UnknownPreset when the newest document lacks the newest preset,
+//   - InvariantBroken when a version in force is offered with other content.
 //
-// Failure guarded against: a late answer or a lagging peer offers an old
-// version after a newer one; the daemon would revert an accepted change.
-// Versions come from the table's compare-and-set, so comparing them suffices.
+// A late answer or a lagging peer may offer an old version after a newer one.
+// Adopting it would revert an accepted change. Versions are assigned by a
+// compare-and-set in the platform's table, so comparing them suffices.
 func (f *InForce) Accept(o Offer) (bool, error) {
-	if err := f.contradicts(o); err != nil {
+	if err := f.checkSameContent(o); err != nil {
 		return false, err
 	}
 	next := f.merge(o)
@@ -63,9 +64,9 @@
 	if next.Document == nil {
 		return false, result.New(result.NotFound, "no configuration is known yet")
 	}
-	// A document may drop a preset that was switched away from before. A daemon
-	// that has not heard of the switch keeps the old pair as a whole until it
-	// does; it never runs a preset of its own choice.
+	// A document may drop a preset that is no longer in force. A daemon that has
+	// not yet received the switch keeps its old document with its old preset
+	// until it does; it never chooses a preset by itself.
 	view, err := Effective(next.Document, next.Preset)
 	if err != nil {
 		return false, err
@@ -77,7 +78,7 @@
 	return true, nil
 }
 
-func (f *InForce) contradicts(o Offer) error {
+func (f *InForce) checkSameContent(o Offer) error {
 	sameConfig := o.Versions.Config == f.held.Versions.Config && o.Versions.Config > 0
 	if sameConfig && o.Hash != f.held.Hash {
 		return result.New(result.InvariantBroken, "two documents have version %d", o.Versions.Config)
@@ -103,40 +104,42 @@
 	return next
 }
 
-// PeerReport says which versions a peer has in force.
+// PeerReport holds the versions that a peer has in force.
 type PeerReport struct {
 	VM       topology.VMID
 	Versions Versions
 }
 
-// StartPlan tells a daemon that starts while the platform is out whose
-// configuration to take.
+// StartPlan names the peers from which a daemon takes its configuration when it
+// starts while the platform is unavailable.
 type StartPlan struct {
-	// ConfigFrom and PresetFrom hold the highest version of each.
+	// ConfigFrom and PresetFrom are the peers with the highest version of the
+	// document and of the preset.
 	ConfigFrom topology.VMID
 	PresetFrom topology.VMID
 	Versions   Versions
 }
 
-// PlanStart picks the highest versions that peers hold; it reports false when no
-// peer has a document. The plan may be older than what the platform holds: the
-// daemon says that it started from peers until it has read the platform.
+// PlanStart picks the highest versions that peers hold. It returns false when no
+// peer has a document. The platform may hold newer versions than the plan, so the
+// daemon reports that it started from peers until it has read the platform.
 func PlanStart(reports []PeerReport) (StartPlan, bool) {
 	var plan StartPlan
 	for _, r := range reports {
-		if ahead(r.Versions.Config, plan.Versions.Config, r.VM, plan.ConfigFrom) {
+		if preferred(r.Versions.Config, plan.Versions.Config, r.VM, plan.ConfigFrom) {
 			plan.ConfigFrom, plan.Versions.Config = r.VM, r.Versions.Config
 		}
-		if ahead(r.Versions.Preset, plan.Versions.Preset, r.VM, plan.PresetFrom) {
+		if preferred(r.Versions.Preset, plan.Versions.Preset, r.VM, plan.PresetFrom) {
 			plan.PresetFrom, plan.Versions.Preset = r.VM, r.Versions.Preset
 		}
 	}
 	return plan, plan.Versions.Config > 0
 }
 
-// ahead prefers the higher version and then the lower VM id, so that the order
-// of the reports does not matter.
-func ahead(version, best uint64, vm, bestVM topology.VMID) bool {
+// preferred reports whether a peer's version is chosen over the best so far: a
+// higher version, or the same version and a lower VM id, so that the order of the
+// reports does not matter.
+func preferred(version, best uint64, vm, bestVM topology.VMID) bool {
 	if version != best {
 		return version > best
 	}
--- a/pkg/config/parse.go
+++ b/pkg/config/parse.go
@@ -9,17 +9,20 @@
 )
 
 const (
-	// MaxBytes is the largest document: 14,000 targets take about 3 MB.
+	// MaxBytes is the maximum size of a document, in bytes. A document with 14,000
+	// targets has about 3 MB.
 	MaxBytes = 16 << 20
-	// maxBrackets bounds the nesting. The syntax parser recurses, and a file of
-	// nothing but brackets would end the program by a stack overflow, which Go
-	// can't recover from. So many nested frames fit the stack.
+	// maxBrackets is the maximum number of opening brackets, which bounds the
+	// nesting depth. The syntax parser is recursive, and a file of nothing but
+	// brackets would end the process with a stack overflow, from which Go can't
+	// recover. This many nested frames fit on the stack.
 	maxBrackets = 200_000
 )
 
-// Parse reads a document and returns all its problems, ordered by their place
-// in the file. The document is nil when one of them is an error; with warnings
-// only it is valid. file only names the source in the problems.
+// Parse decodes and validates a document. It returns all problems, ordered by
+// their position in the file. The document is nil when one of them is an error;
+// a document with only warnings is valid. The file name appears only in the
+// problems, as the name of the source.
 func Parse(file string, raw []byte) (*Document, []Problem) {
 	r := newReport(file, raw)
 	if !r.sizeAllowed() {
@@ -55,8 +58,8 @@
 	return true
 }
 
-// syntax reports text that is not JSON; the library names the place in its
-// message only.
+// syntax reports text that is not JSON. The library gives the position only in
+// the text of its error.
 func (r *report) syntax(err error) {
 	p := Problem{File: r.file, Line: 1, Column: 1, Allowed: "JSON with comments"}
 	const format = "hujson: line %d, column %d:"
--- a/pkg/config/problem.go
+++ b/pkg/config/problem.go
@@ -8,23 +8,23 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// Problem is one thing that is wrong with a document.
+// Problem is one error or warning about a document.
 type Problem struct {
 	File string `json:"file"`
 	// Line and Column count from 1; the column counts bytes.
 	Line   int `json:"line"`
 	Column int `json:"column"`
-	// Path leads to the value: classes[2].deadline.
+	// Path is the path of the value, such as classes[2].deadline.
 	Path string `json:"path"`
-	// What is wrong.
+	// What describes the problem.
 	What string `json:"what"`
-	// Allowed says what would be right.
+	// Allowed describes what would be valid instead.
 	Allowed string `json:"allowed"`
-	// Warning: the document is valid in spite of it.
+	// Warning is set when the document is valid in spite of the problem.
 	Warning bool `json:"warning"`
 }
 
-// String writes the problem in one line, as compilers do.
+// String formats the problem on one line, in the style of a compiler.
 func (p Problem) String() string {
 	severity := "error"
 	if p.Warning {
@@ -37,7 +37,7 @@
 	return s
 }
 
-// HasErrors reports whether a problem is more than a warning.
+// HasErrors reports whether any problem is an error rather than a warning.
 func HasErrors(problems []Problem) bool {
 	for _, p := range problems {
 		if !p.Warning {
@@ -47,8 +47,8 @@
 	return false
 }
 
-// Err returns nil when all problems are warnings, or else a ConfigInvalid error
-// that lists the rest.
+// Err returns nil when all problems are warnings. Otherwise it returns a
+// ConfigInvalid error that lists the problems without the warnings.
 func Err(problems []Problem) error {
 	var lines []string
 	for _, p := range problems {
@@ -62,16 +62,17 @@
 	return result.New(result.ConfigInvalid, "%s", strings.Join(lines, "\n"))
 }
 
-// report collects problems and knows where each value lies in the file.
+// report collects problems and maps the path of each value to its byte offset in
+// the file.
 type report struct {
 	file     string
 	raw      []byte
 	offsets  map[string]int
 	problems []Problem
-	// failed holds the paths whose value could not be read: checks of the value
-	// would only repeat the problem.
+	// failed holds the paths whose value could not be decoded. Further checks of
+	// such a value would only repeat the problem.
 	failed map[string]bool
-	// lineStarts are the offsets of the lines, found when first needed.
+	// lineStarts holds the byte offset of each line. It is computed on first use.
 	lineStarts []int
 }
 
@@ -94,8 +95,8 @@
 	return Problem{File: r.file, Line: line, Column: column, Path: path, What: what, Allowed: allowed}
 }
 
-// offsetOf finds the value, or the nearest record around it when the file
-// leaves the key out.
+// offsetOf returns the offset of the value at path, or of the nearest enclosing
+// record when the file omits the key.
 func (r *report) offsetOf(path string) int {
 	for path != "" {
 		if offset, ok := r.offsets[path]; ok {
@@ -106,7 +107,7 @@
 	return r.offsets[""]
 }
 
-// given reports whether the file has a value at path that could be read.
+// given reports whether the file has a value at path that could be decoded.
 func (r *report) given(path string) bool {
 	_, ok := r.offsets[path]
 	return ok && !r.failed[path]
--- a/pkg/config/problems_test.go
+++ b/pkg/config/problems_test.go
@@ -15,8 +15,8 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// valid is a small document; tests replace a line of it.
-var valid = []string{
+// validLines is a small valid document. Tests replace single lines of it.
+var validLines = []string{
 	`{ "data_centres": [{"name": "a", "region": "r"}, {"name": "b", "region": "r"}],`,
 	`  "members": [{"name": "m"}],`,
 	`  "services": [{"member": "m", "name": "s"}],`,
@@ -30,9 +30,9 @@
 	`}`,
 }
 
-// with returns the small document with one line (from 1) replaced.
-func with(line int, text string) []byte {
-	lines := append([]string(nil), valid...)
+// withLine returns the small document with one line replaced, counted from 1.
+func withLine(line int, text string) []byte {
+	lines := append([]string(nil), validLines...)
 	lines[line-1] = text
 	return []byte(strings.Join(lines, "\n"))
 }
@@ -45,9 +45,9 @@
 	return out
 }
 
-var _ = DescribeTable("One problem is told with its place and what is allowed",
+var _ = DescribeTable("A problem is reported with its position and what is allowed",
 	func(line int, text string, want ...string) {
-		doc, problems := config.Parse("f", with(line, text))
+		doc, problems := config.Parse("f", withLine(line, text))
 		Expect(doc).To(BeNil())
 		Expect(texts(problems)).To(Equal(want))
 		Expect(result.From(config.Err(problems)).Code).To(Equal(result.ConfigInvalid))
@@ -68,7 +68,7 @@
 	Entry("a wrong type", 2, `  "members": {"name": "m"},`,
 		`f:2:14: error: members: is an object; allowed: a list`,
 		`f:3:27: error: services[0].member: there is no member "m"; allowed: none is declared`),
-	Entry("a dangling name", 3, `  "services": [{"member": "n", "name": "s"}],`,
+	Entry("a reference to a name that is not declared", 3, `  "services": [{"member": "n", "name": "s"}],`,
 		`f:3:27: error: services[0].member: there is no member "n"; allowed: m`),
 	Entry("an empty reference", 3, `  "services": [{"member": "", "name": "s"}],`,
 		`f:3:27: error: services[0].member: there is no member ""; allowed: m`),
@@ -79,15 +79,15 @@
 		`f:6:49: error: groups[0].targets[1].address: "db.example:5432" is not an address; allowed: an IP number and a port, such as "10.0.0.5:5432"`),
 	Entry("more slots than connections", 6, `    {"id": "t2", "data_centre": "b", "address": "127.0.0.1:2", "slots": 9, "connections": 8},`,
 		`f:6:73: error: groups[0].targets[1].slots: 9 slots can't be used over 8 connections; allowed: at most as many slots as connections`),
-	Entry("a deadline of nothing", 8, `"classes": [{"service": "s", "name": "read", "kind": "read", "deadline": "0s"},`,
+	Entry("a deadline of zero", 8, `"classes": [{"service": "s", "name": "read", "kind": "read", "deadline": "0s"},`,
 		`f:8:74: error: classes[0].deadline: 0s is out of bounds; allowed: 1ms to 24h`),
 	Entry("an unknown kind", 8, `"classes": [{"service": "s", "name": "read", "kind": "raed"},`,
 		`f:8:54: error: classes[0].kind: "raed" is not a value of this key; allowed: read, write (did you mean "read"?)`),
-	Entry("a read that may not be repeated", 8, `"classes": [{"service": "s", "name": "read", "kind": "read", "repeatable": false},`,
+	Entry("a read class that is not repeatable", 8, `"classes": [{"service": "s", "name": "read", "kind": "read", "repeatable": false},`,
 		`f:8:76: error: classes[0].repeatable: a read class is always repeatable; allowed: leave the key out, or true`),
-	Entry("a stale write", 9, `{"service": "s", "name": "write", "kind": "write", "staleness": "1s"}],`,
+	Entry("a write class with staleness", 9, `{"service": "s", "name": "write", "kind": "write", "staleness": "1s"}],`,
 		`f:9:65: error: classes[1].staleness: a write class has no staleness; allowed: read classes only`),
-	Entry("a preset of no class", 10, `"presets": [{"name": "ordinary", "classes": [{"service": "s", "class": "wirte", "priority": "urgent"}]}],`,
+	Entry("a preset that overrides an unknown class", 10, `"presets": [{"name": "ordinary", "classes": [{"service": "s", "class": "wirte", "priority": "urgent"}]}],`,
 		`f:10:72: error: presets[0].classes[0].class: there is no class of service s "wirte"; allowed: read, write (did you mean "write"?)`),
 	Entry("no ordinary preset", 10, `  "presets": [{"name": "peak"}],`,
 		`f:10:14: error: presets: there is no preset "ordinary"; allowed: it is in force until an operator switches`),
@@ -97,27 +97,27 @@
 
 var _ = Describe("Parse", func() {
 	It("fills in defaults", func() {
-		doc, problems := config.Parse("f", with(1, valid[0]))
+		doc, problems := config.Parse("f", withLine(1, validLines[0]))
 		Expect(problems).To(BeEmpty())
 		Expect(doc.Groups[0].Targets[0].Slots).To(Equal(config.DefaultSlots))
 		Expect(doc.Limits.DrainTime).To(Equal(config.DefaultDrainTime))
-		Expect(doc.Classes[0].Repeatable).To(BeTrue(), "a read")
-		Expect(doc.Classes[1].Repeatable).To(BeFalse(), "a write must say so")
+		Expect(doc.Classes[0].Repeatable).To(BeTrue(), "a read class is repeatable by default")
+		Expect(doc.Classes[1].Repeatable).To(BeFalse(), "a write class is not repeatable by default")
 	})
 
-	It("refuses a group that leaves as a whole, and takes one that keeps a target", func() {
+	It("rejects a group whose targets are all leaving and accepts one with a target that stays", func() {
 		leaving := func(raw []byte, id string) []byte {
 			return bytes.Replace(raw, []byte(`"id": "`+id+`"`), []byte(`"leaving": true, "id": "`+id+`"`), 1)
 		}
-		doc, problems := config.Parse("f", leaving(with(1, valid[0]), "t1"))
+		doc, problems := config.Parse("f", leaving(withLine(1, validLines[0]), "t1"))
 		Expect(problems).To(BeEmpty())
 		Expect(doc.Groups[0].Targets[0].Leaving).To(BeTrue())
-		_, problems = config.Parse("f", leaving(leaving(with(1, valid[0]), "t1"), "t2"))
+		_, problems = config.Parse("f", leaving(leaving(withLine(1, validLines[0]), "t1"), "t2"))
 		Expect(problems).To(HaveLen(1))
 		Expect(problems[0].String()).To(ContainSubstring("every target of the group is leaving"))
 	})
 
-	It("tells all problems at once, in the order of the file", func() {
+	It("reports all problems at once, in the order of the file", func() {
 		_, problems := config.Parse("f", []byte(`{"limits": {"drain_time": 3},
 			"extra": 1, "members": [{"name": "a b", "weight": 0}], "services": []}`))
 		var places []string
@@ -130,9 +130,9 @@
 		}))
 	})
 
-	It("refuses to wait for the replica of a group with one target, which also has no spread", func() {
-		text := strings.Join(valid, "\n")
-		text = strings.Replace(text, valid[5]+"\n", "", 1)
+	It("rejects ack_waits_for_replica for a group with one target and warns of its single data centre", func() {
+		text := strings.Join(validLines, "\n")
+		text = strings.Replace(text, validLines[5]+"\n", "", 1)
 		text = strings.Replace(text, `"kind": "write"`, `"kind": "write", "ack_waits_for_replica": true`, 1)
 		doc, problems := config.Parse("f", []byte(text))
 		Expect(doc).To(BeNil())
@@ -143,9 +143,9 @@
 	})
 
 	// An operator drains one of two targets. Writes that wait for a replica would
-	// fail from then on, as none is left to wait for.
-	It("refuses to wait for a replica that leaves", func() {
-		text := strings.Join(valid, "\n")
+	// fail from then on, as no replica is left.
+	It("rejects ack_waits_for_replica when the only replica is leaving", func() {
+		text := strings.Join(validLines, "\n")
 		text = strings.Replace(text, `{"id": "t2"`, `{"leaving": true, "id": "t2"`, 1)
 		text = strings.Replace(text, `"kind": "write"`, `"kind": "write", "ack_waits_for_replica": true`, 1)
 		_, problems := config.Parse("f", []byte(text))
@@ -153,16 +153,16 @@
 		Expect(problems[0].Path).To(Equal("classes[1].ack_waits_for_replica"))
 	})
 
-	It("takes a document with warnings only", func() {
-		doc, problems := config.Parse("f", with(6, strings.Replace(valid[5], `"b"`, `"a"`, 1)))
+	It("accepts a document with only warnings", func() {
+		doc, problems := config.Parse("f", withLine(6, strings.Replace(validLines[5], `"b"`, `"a"`, 1)))
 		Expect(doc).NotTo(BeNil())
 		Expect(problems).To(HaveLen(1))
 		Expect(config.Err(problems)).To(Succeed())
 	})
 
-	// A file of nothing but brackets makes the syntax parser recurse once for
-	// each. Unbounded, the program would die of a stack overflow.
-	It("survives deep nesting", func() {
+	// The syntax parser recurses once for each opening bracket. Without a limit, a
+	// file of nothing but brackets would end the process with a stack overflow.
+	It("rejects deep nesting without a stack overflow", func() {
 		for _, depth := range []int{100_000, 5_000_000} {
 			doc, problems := config.Parse("f", []byte(strings.Repeat("[", depth)))
 			Expect(doc).To(BeNil())
@@ -172,7 +172,7 @@
 })
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(strings.Join(valid, "\n")))
+	f.Add([]byte(strings.Join(validLines, "\n")))
 	f.Add([]byte(`{"members": [{"name": 1e3, "weight": -1}], /* c */ }`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		doc, problems := config.Parse("f", raw)
@@ -186,9 +186,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, problems := config.Parse("again", canonical)
-		if config.HasErrors(problems) || !reflect.DeepEqual(doc, again) {
-			t.Fatalf("%s came back otherwise: %v", canonical, problems)
+		reparsed, problems := config.Parse("canonical", canonical)
+		if config.HasErrors(problems) || !reflect.DeepEqual(doc, reparsed) {
+			t.Fatalf("%s parses to a different document: %v", canonical, problems)
 		}
 	})
 }
--- a/pkg/config/size_test.go
+++ b/pkg/config/size_test.go
@@ -8,8 +8,9 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// planned returns a document of the plan's size: 14,000 targets in 24 data centres.
-func planned() *config.Document {
+// fullSizeDocument returns a document of the size that the system is designed for:
+// 14,000 targets in 24 data centres.
+func fullSizeDocument() *config.Document {
 	const centres, groups = 24, 4667
 	doc := &config.Document{
 		Members:  []config.Member{{Name: "m", Weight: 1, MaxSessions: 1, MaxRequests: 1}},
@@ -38,8 +39,8 @@
 	return doc
 }
 
-func BenchmarkParsePlanned(b *testing.B) {
-	raw, err := config.Canonical(planned())
+func BenchmarkParseFullSize(b *testing.B) {
+	raw, err := config.Canonical(fullSizeDocument())
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -52,8 +53,8 @@
 	b.ReportMetric(float64(len(raw)), "B/document")
 }
 
-func BenchmarkEffectivePlanned(b *testing.B) {
-	doc := planned()
+func BenchmarkEffectiveFullSize(b *testing.B) {
+	doc := fullSizeDocument()
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := config.Effective(doc, config.OrdinaryPreset); err != nil {
@@ -63,7 +64,7 @@
 }
 
 func BenchmarkGroupOf(b *testing.B) {
-	view, err := config.Effective(planned(), config.OrdinaryPreset)
+	view, err := config.Effective(fullSizeDocument(), config.OrdinaryPreset)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/pkg/config/suggest.go
+++ b/pkg/config/suggest.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// maxSuggestDistance is the most edits between a misspelt name and the one that
-// is suggested for it.
+// maxSuggestDistance is the maximum edit distance between a misspelt name and the
+// name that is suggested for it.
 const maxSuggestDistance = 3
 
-// listAndSuggest names what is allowed, with the nearest name to a misspelt one.
+// listAndSuggest lists the allowed names and suggests the nearest one.
 func listAndSuggest(name string, allowed []string) string {
 	list := strings.Join(allowed, ", ")
 	if near := nearest(name, allowed); near != "" {
@@ -19,7 +19,7 @@
 }
 
 func nearest(name string, allowed []string) string {
-	// A name of which half the letters differ is another name.
+	// A name that differs in more than half of its letters is not a misspelling.
 	best, bestDistance := "", min(maxSuggestDistance, len(name)/2)+1
 	for _, a := range allowed {
 		if d := editDistance(name, a); d < bestDistance {
@@ -29,8 +29,9 @@
 	return best
 }
 
-// editDistance is Levenshtein's, by bytes. Names far apart in length are not
-// compared: a long key in a hostile file would cost its length squared.
+// editDistance returns the Levenshtein distance in bytes. Names whose lengths
+// differ by more than maxSuggestDistance are not compared: the time for a long key
+// in a hostile file would grow with the square of its length.
 func editDistance(a, b string) int {
 	if len(a)-len(b) > maxSuggestDistance || len(b)-len(a) > maxSuggestDistance {
 		return maxSuggestDistance + 1
--- a/pkg/config/types.go
+++ b/pkg/config/types.go
@@ -7,19 +7,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Duration is written with its unit, as Go writes it: "250ms", "2s".
+// Duration is encoded with its unit, in the format of time.Duration: "250ms", "2s".
 type Duration time.Duration
 
-// Std returns the standard library's type.
+// Std returns the duration as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// String writes the duration with its unit.
+// String formats the duration with its unit.
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// MarshalJSON writes what UnmarshalJSON reads.
+// MarshalJSON encodes the duration in the format that UnmarshalJSON decodes.
 func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(d.String()) }
 
-// UnmarshalJSON reads a quoted duration.
+// UnmarshalJSON decodes a quoted duration.
 func (d *Duration) UnmarshalJSON(b []byte) error {
 	var s string
 	if err := json.Unmarshal(b, &s); err != nil {
@@ -36,7 +36,7 @@
 // enum is a string type with a fixed set of values.
 type enum interface{ allowed() []string }
 
-// Kind says whether requests of a class may write.
+// Kind determines whether requests of a class may write.
 type Kind string
 
 // The kinds of classes.
--- a/pkg/config/validate.go
+++ b/pkg/config/validate.go
@@ -9,17 +9,18 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// validName keeps names apart from the separators that join them: "/" in group
-// ids, "," in lists of targets that go to the databases.
+// validName excludes the separators that join names: "/" in group ids, "," in the
+// lists of targets that are sent to the databases.
 var validName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9_.-]{0,62}$`)
 
 const nameRule = "1 to 63 letters, digits, '-', '_' or '.', a letter or digit first"
 
-// minTargetsToWait is the least size of a group whose writes wait for a replica.
-const minTargetsToWait = 2
+// minTargetsForReplicaAck is the minimum number of targets in a group whose writes
+// wait for a replica.
+const minTargetsForReplicaAck = 2
 
-// validator checks what one value alone can't show: names, references and
-// limits that clash.
+// validator makes the checks that need more than one value: unique names,
+// references and conflicting limits.
 type validator struct {
 	*report
 	doc *Document
@@ -34,20 +35,22 @@
 	v.presets()
 }
 
-// names is the set of names of one table and reports those given twice.
-type names struct {
-	v     *validator
-	what  string
-	first map[string]string
-	order []string
+// nameSet holds the names declared in one table and reports duplicates.
+type nameSet struct {
+	v          *validator
+	recordKind string
+	// firstPath maps each key to the path of its first declaration.
+	firstPath map[string]string
+	order     []string
 }
 
-func (v *validator) newNames(what string) *names {
-	return &names{v: v, what: what, first: map[string]string{}}
+func (v *validator) newNameSet(recordKind string) *nameSet {
+	return &nameSet{v: v, recordKind: recordKind, firstPath: map[string]string{}}
 }
 
-// declare checks a new name; key is what must be unique.
-func (n *names) declare(path, name, key string) {
+// declare checks a declared name. The key, which may include the name of the
+// parent record, must be unique.
+func (n *nameSet) declare(path, name, key string) {
 	if !n.v.given(path) {
 		return
 	}
@@ -55,16 +58,16 @@
 		n.v.add(path, fmt.Sprintf("%q is not a valid name", name), nameRule)
 		return
 	}
-	if first, ok := n.first[key]; ok {
-		n.v.add(path, fmt.Sprintf("%s %q is declared twice", n.what, key), "one declaration; the first is "+first)
+	if firstPath, ok := n.firstPath[key]; ok {
+		n.v.add(path, fmt.Sprintf("%s %q is declared twice", n.recordKind, key), "one declaration; the first is "+firstPath)
 		return
 	}
-	n.first[key] = path
+	n.firstPath[key] = path
 	n.order = append(n.order, key)
 }
 
-// refer checks a reference to a name.
-func (v *validator) refer(path, what, name string, known []string) {
+// checkReference reports a reference to a name that is not declared.
+func (v *validator) checkReference(path, recordKind, name string, known []string) {
 	if !v.given(path) {
 		return
 	}
@@ -73,7 +76,7 @@
 			return
 		}
 	}
-	v.add(path, fmt.Sprintf("there is no %s %q", what, name), orNone(listAndSuggest(name, known)))
+	v.add(path, fmt.Sprintf("there is no %s %q", recordKind, name), orNone(listAndSuggest(name, known)))
 }
 
 func orNone(list string) string {
@@ -84,7 +87,7 @@
 }
 
 func (v *validator) dataCentres() {
-	n := v.newNames("data centre")
+	n := v.newNameSet("data centre")
 	for i, dc := range v.doc.DataCentres {
 		path := indexPath("data_centres", i)
 		n.declare(joinPath(path, "name"), string(dc.Name), string(dc.Name))
@@ -96,14 +99,14 @@
 }
 
 func (v *validator) members() {
-	n := v.newNames("member")
+	n := v.newNameSet("member")
 	for i, m := range v.doc.Members {
 		n.declare(joinPath(indexPath("members", i), "name"), m.Name, m.Name)
 	}
 }
 
 func (v *validator) services() {
-	n := v.newNames("service")
+	n := v.newNameSet("service")
 	members := namesOf(v.doc.Members, func(m Member) string { return m.Name })
 	withGroups := map[string]bool{}
 	for _, g := range v.doc.Groups {
@@ -112,7 +115,7 @@
 	for i, s := range v.doc.Services {
 		path := indexPath("services", i)
 		n.declare(joinPath(path, "name"), s.Name, s.Name)
-		v.refer(joinPath(path, "member"), "member", s.Member, members)
+		v.checkReference(joinPath(path, "member"), "member", s.Member, members)
 		if s.Name != "" && !withGroups[s.Name] {
 			v.add(joinPath(path, "name"), fmt.Sprintf("service %q has no group", s.Name), "at least one entry in groups")
 		}
@@ -120,29 +123,30 @@
 }
 
 func (v *validator) groups() {
-	n := v.newNames("group")
+	n := v.newNameSet("group")
 	services := v.serviceNames()
 	centres := namesOf(v.doc.DataCentres, func(d DataCentre) string { return string(d.Name) })
-	targets := v.newNames("target")
+	targets := v.newNameSet("target")
 	addresses := map[string]string{}
 	for i := range v.doc.Groups {
 		g := &v.doc.Groups[i]
 		path := indexPath("groups", i)
 		n.declare(joinPath(path, "name"), g.Name, string(g.ID()))
-		v.refer(joinPath(path, "service"), "service", g.Service, services)
+		v.checkReference(joinPath(path, "service"), "service", g.Service, services)
 		v.spread(g, joinPath(path, "targets"))
 		for j := range g.Targets {
 			targetPath := indexPath(joinPath(path, "targets"), j)
 			t := &g.Targets[j]
 			targets.declare(joinPath(targetPath, "id"), string(t.ID), string(t.ID))
-			v.refer(joinPath(targetPath, "data_centre"), "data centre", string(t.DataCentre), centres)
+			v.checkReference(joinPath(targetPath, "data_centre"), "data centre", string(t.DataCentre), centres)
 			v.address(joinPath(targetPath, "address"), t.Address, addresses)
 			v.capacity(targetPath, t)
 		}
 	}
 }
 
-// spread warns of a group that one data centre's loss would end.
+// spread reports a group in which no target stays, and warns of a group that the
+// loss of one data centre would make unavailable.
 func (v *validator) spread(g *Group, path string) {
 	if !v.given(path) {
 		return
@@ -187,14 +191,14 @@
 }
 
 func (v *validator) classes() {
-	n := v.newNames("class")
+	n := v.newNameSet("class")
 	services := v.serviceNames()
 	smallest := v.smallestGroups()
 	for i := range v.doc.Classes {
 		c := &v.doc.Classes[i]
 		path := indexPath("classes", i)
 		n.declare(joinPath(path, "name"), c.Name, c.Service+"/"+c.Name)
-		v.refer(joinPath(path, "service"), "service", c.Service, services)
+		v.checkReference(joinPath(path, "service"), "service", c.Service, services)
 		switch c.Kind {
 		case Read:
 			v.readClass(path, c)
@@ -204,7 +208,8 @@
 	}
 }
 
-// readClass fills in that reads are repeatable, and refuses what only writes have.
+// readClass marks the class as repeatable and reports settings that only write
+// classes may have.
 func (v *validator) readClass(path string, c *Class) {
 	repeatable := joinPath(path, "repeatable")
 	if v.given(repeatable) && !c.Repeatable {
@@ -221,14 +226,14 @@
 		v.add(joinPath(path, "staleness"), "a write class has no staleness", "read classes only")
 	}
 	size, known := smallest[c.Service]
-	if c.AckWaitsForReplica && known && size < minTargetsToWait {
+	if c.AckWaitsForReplica && known && size < minTargetsForReplicaAck {
 		what := fmt.Sprintf("a group of service %q has %d target that stays, so no replica to wait for", c.Service, size)
 		v.add(joinPath(path, "ack_waits_for_replica"), what, "two targets or more in each group, or false")
 	}
 }
 
-// smallestGroups returns the size of each service's smallest group without the
-// targets that leave.
+// smallestGroups returns the number of targets in each service's smallest group,
+// not counting the targets that are leaving.
 func (v *validator) smallestGroups() map[string]int {
 	sizes := map[string]int{}
 	for _, g := range v.doc.Groups {
--- a/pkg/config/validate_presets.go
+++ b/pkg/config/validate_presets.go
@@ -6,7 +6,7 @@
 )
 
 func (v *validator) presets() {
-	n := v.newNames("preset")
+	n := v.newNameSet("preset")
 	for i := range v.doc.Presets {
 		p := &v.doc.Presets[i]
 		path := indexPath("presets", i)
@@ -23,19 +23,19 @@
 	services := v.serviceNames()
 	seen := map[string]bool{}
 	for i, o := range p.Classes {
-		at := indexPath(joinPath(path, "classes"), i)
-		v.refer(joinPath(at, "service"), "service", o.Service, services)
+		overridePath := indexPath(joinPath(path, "classes"), i)
+		v.checkReference(joinPath(overridePath, "service"), "service", o.Service, services)
 		key := o.Service + "/" + o.Class
 		if seen[key] {
-			v.add(at, fmt.Sprintf("class %q is overridden twice", key), "once a preset")
+			v.add(overridePath, fmt.Sprintf("class %q is overridden twice", key), "once a preset")
 		}
 		seen[key] = true
 		if !slices.Contains(services, o.Service) {
 			continue
 		}
-		v.refer(joinPath(at, "class"), "class of service "+o.Service, o.Class, v.classesOf(o.Service))
+		v.checkReference(joinPath(overridePath, "class"), "class of service "+o.Service, o.Class, v.classesOf(o.Service))
 		if v.kindOf(o.Service, o.Class) == Write && o.Staleness != nil {
-			v.add(joinPath(at, "staleness"), "a write class has no staleness", "read classes only")
+			v.add(joinPath(overridePath, "staleness"), "a write class has no staleness", "read classes only")
 		}
 	}
 }
@@ -44,10 +44,10 @@
 	members := namesOf(v.doc.Members, func(m Member) string { return m.Name })
 	seen := map[string]bool{}
 	for i, o := range p.Members {
-		at := indexPath(joinPath(path, "members"), i)
-		v.refer(joinPath(at, "member"), "member", o.Member, members)
+		overridePath := indexPath(joinPath(path, "members"), i)
+		v.checkReference(joinPath(overridePath, "member"), "member", o.Member, members)
 		if seen[o.Member] {
-			v.add(at, fmt.Sprintf("member %q is overridden twice", o.Member), "once a preset")
+			v.add(overridePath, fmt.Sprintf("member %q is overridden twice", o.Member), "once a preset")
 		}
 		seen[o.Member] = true
 	}
--- a/pkg/config/view.go
+++ b/pkg/config/view.go
@@ -11,9 +11,9 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// View is a document with one preset applied, indexed by name. It never changes
-// after Effective returns it, so it may be shared between goroutines; slices
-// that it returns must not be written to.
+// View is a document with one preset applied, indexed by name. It is
+// immutable, so it may be shared between goroutines. Callers must not modify the
+// slices that it returns.
 type View struct {
 	preset      string
 	limits      Limits
@@ -26,9 +26,9 @@
 	groups      map[topology.GroupID]Group
 	targets     map[topology.TargetID]PlacedTarget
 
-	groupsOf  map[string][]topology.GroupID
-	targetsIn map[topology.DataCentre][]topology.TargetID
-	shards    map[string]*rendezvous.Rendezvous
+	groupsOf    map[string][]topology.GroupID
+	targetsIn   map[topology.DataCentre][]topology.TargetID
+	shardHashes map[string]*rendezvous.Rendezvous
 }
 
 type classKey struct{ service, class string }
@@ -39,11 +39,11 @@
 	Group topology.GroupID
 }
 
-// Effective resolves a valid document under a preset. A preset that the
-// document lacks is refused with UnknownPreset.
+// Effective applies a preset to a valid document. It returns UnknownPreset when
+// the document lacks the preset.
 func Effective(doc *Document, preset string) (*View, error) {
-	at := slices.IndexFunc(doc.Presets, func(p Preset) bool { return p.Name == preset })
-	if at < 0 {
+	presetIndex := slices.IndexFunc(doc.Presets, func(p Preset) bool { return p.Name == preset })
+	if presetIndex < 0 {
 		return nil, result.New(result.UnknownPreset, "%s", preset)
 	}
 	v := &View{
@@ -58,10 +58,10 @@
 		targets:     map[topology.TargetID]PlacedTarget{},
 		groupsOf:    map[string][]topology.GroupID{},
 		targetsIn:   map[topology.DataCentre][]topology.TargetID{},
-		shards:      map[string]*rendezvous.Rendezvous{},
+		shardHashes: map[string]*rendezvous.Rendezvous{},
 	}
 	v.index(doc)
-	v.apply(&doc.Presets[at])
+	v.apply(&doc.Presets[presetIndex])
 	return v, nil
 }
 
@@ -82,7 +82,7 @@
 		v.indexGroup(&doc.Groups[i])
 	}
 	for service, groups := range v.groupsOf {
-		v.shards[service] = rendezvous.New(groupNames(groups), xxhash.Sum64String)
+		v.shardHashes[service] = rendezvous.New(groupNames(groups), xxhash.Sum64String)
 	}
 }
 
@@ -128,67 +128,69 @@
 	}
 }
 
-// Preset returns the name of the preset applied.
+// Preset returns the name of the applied preset.
 func (v *View) Preset() string { return v.preset }
 
-// Limits returns the bounds of one daemon.
+// Limits returns the limits of one daemon.
 func (v *View) Limits() Limits { return v.limits }
 
-// RetryBudget returns the budget under the preset.
+// RetryBudget returns the retry budget, with the preset applied.
 func (v *View) RetryBudget() RetryBudget { return v.retryBudget }
 
-// DataCentre finds a data centre.
+// DataCentre returns the data centre of that name, if there is one.
 func (v *View) DataCentre(name topology.DataCentre) (DataCentre, bool) {
 	dc, ok := v.dataCentres[name]
 	return dc, ok
 }
 
-// Member finds a member, as the preset has it.
+// Member returns the member of that name, if there is one, with the preset
+// applied.
 func (v *View) Member(name string) (Member, bool) {
 	m, ok := v.members[name]
 	return m, ok
 }
 
-// Service finds a service; its Member names whose it is.
+// Service returns the service of that name, if there is one. Its Member field
+// names the owner.
 func (v *View) Service(name string) (Service, bool) {
 	s, ok := v.services[name]
 	return s, ok
 }
 
-// Class finds a class of a service, as the preset has it.
+// Class returns a class of a service, if there is one, with the preset applied.
 func (v *View) Class(service, class string) (Class, bool) {
 	c, ok := v.classes[classKey{service, class}]
 	return c, ok
 }
 
-// Group finds a group.
+// Group returns the group with that id, if there is one.
 func (v *View) Group(id topology.GroupID) (Group, bool) {
 	g, ok := v.groups[id]
 	return g, ok
 }
 
-// Target finds a target.
+// Target returns the target with that id, if there is one.
 func (v *View) Target(id topology.TargetID) (PlacedTarget, bool) {
 	t, ok := v.targets[id]
 	return t, ok
 }
 
-// AllGroups returns the groups of every service, sorted.
+// AllGroups returns the ids of the groups of all services, sorted.
 func (v *View) AllGroups() []topology.GroupID { return slices.Sorted(maps.Keys(v.groups)) }
 
-// Groups returns a service's groups in the document's order.
+// Groups returns the ids of a service's groups in the document's order.
 func (v *View) Groups(service string) []topology.GroupID { return v.groupsOf[service] }
 
-// TargetsIn returns a data centre's targets in the document's order.
+// TargetsIn returns the ids of a data centre's targets in the document's order.
 func (v *View) TargetsIn(dc topology.DataCentre) []topology.TargetID { return v.targetsIn[dc] }
 
-// GroupOf picks the group of a shard key by rendezvous hashing: adding a group
-// moves only the keys that the new group takes over. It reports false when the
-// service has no group.
+// GroupOf returns the group of a shard key. It uses rendezvous hashing: adding a
+// group moves only the keys that the new group takes over. It returns false when
+// the service has no group.
 func (v *View) GroupOf(service, shardKey string) (topology.GroupID, bool) {
-	ring, ok := v.shards[service]
+	hash, ok := v.shardHashes[service]
 	if !ok {
 		return "", false
 	}
-	return topology.GroupID(ring.Lookup(shardKey)), true
+	return topology.GroupID(hash.Lookup(shardKey)), true
 }
--- a/pkg/config/view_lists.go
+++ b/pkg/config/view_lists.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// DataCentres returns all data centres by name.
+// DataCentres returns all data centres, sorted by name.
 func (v *View) DataCentres() []DataCentre {
 	out := make([]DataCentre, 0, len(v.dataCentres))
 	for _, dc := range v.dataCentres {
@@ -15,7 +15,7 @@
 	return out
 }
 
-// Classes returns a service's classes by name, as the preset has them.
+// Classes returns a service's classes with the preset applied, sorted by name.
 func (v *View) Classes(service string) []Class {
 	var out []Class
 	for key, c := range v.classes {
--- a/pkg/config/view_test.go
+++ b/pkg/config/view_test.go
@@ -43,12 +43,12 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	It("refuses a preset that is not there", func() {
+	It("rejects a preset that the document lacks", func() {
 		_, err := config.Effective(example("both.json"), "storm")
 		Expect(result.From(err).Code).To(Equal(result.UnknownPreset))
 	})
 
-	It("spreads shard keys over the groups and moves only the new group's when one is added", func() {
+	It("spreads shard keys evenly over the groups and moves keys only to an added group", func() {
 		doc := example("kalakvoot.json")
 		before := effective(doc, "ordinary")
 		doc.Groups = append(doc.Groups, config.Group{Service: "quota-ledger", Name: "g4"})
@@ -57,10 +57,10 @@
 		counts := map[topology.GroupID]int{}
 		for i := range keys {
 			key := fmt.Sprintf("skipper-%d", i)
-			was, _ := before.GroupOf("quota-ledger", key)
-			is, _ := after.GroupOf("quota-ledger", key)
-			counts[was]++
-			Expect(is).To(Or(Equal(was), Equal(topology.GroupID("quota-ledger/g4"))))
+			groupBefore, _ := before.GroupOf("quota-ledger", key)
+			groupAfter, _ := after.GroupOf("quota-ledger", key)
+			counts[groupBefore]++
+			Expect(groupAfter).To(Or(Equal(groupBefore), Equal(topology.GroupID("quota-ledger/g4"))))
 		}
 		for id, n := range counts {
 			Expect(n).To(BeNumerically("~", keys/3, keys/30), string(id))
@@ -69,7 +69,7 @@
 })
 
 var _ = Describe("Diff", func() {
-	It("is empty for equal documents and names records by their names", func() {
+	It("is empty for equal documents and identifies records by name", func() {
 		before, after := example("both.json"), example("both.json")
 		Expect(config.Diff(before, after)).To(BeEmpty())
 		after.Members[0].Weight = 20
@@ -87,9 +87,9 @@
 
 var _ = Describe("InForce", func() {
 	// Offers of old and new versions arrive in any order, from the platform and
-	// from peers, some with a document that lacks a preset already switched away
-	// from. Whatever is refused, what is in force never goes back.
-	It("never goes back", func() {
+	// from peers, some with a document that lacks a preset that was in force
+	// earlier. The versions in force must never decrease, whatever is rejected.
+	It("never decreases the versions in force", func() {
 		full, small := example("kalakvoot.json"), example("kalakvoot.json")
 		small.Presets = small.Presets[:1]
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
@@ -114,7 +114,7 @@
 					t.Fatal(err)
 				}
 				if err == nil && !f.Versions().AtLeast(o.Versions) {
-					t.Fatalf("offer %+v taken, but %+v in force", o.Versions, f.Versions())
+					t.Fatalf("offer %+v accepted, but %+v in force", o.Versions, f.Versions())
 				}
 			}
 		})
