--- a/pkg/config/store/change.go
+++ b/pkg/config/store/change.go
@@ -11,64 +11,65 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// change is one compare-and-set of a row with its history.
+// change is one compare-and-set of a row and its history.
 type change struct {
-	// what names the row for people.
-	what string
-	// expect is the version that the operator saw; the change makes expect+1.
+	// name is the name of the row in error messages.
+	name string
+	// expect is the version that the operator saw. The change writes expect+1.
 	expect   uint64
 	changeID string
-	// stampOf picks the stamp of the row that the change writes.
+	// stampOf returns the current stamp of the row that the change writes.
 	stampOf func(State) Stamp
-	// build checks the change against what counts now and makes its writes.
+	// build checks the change against the current state and returns its writes.
 	build func(State) ([]platform.Write, error)
-	// historyPrefix is where the change's own row stays.
+	// historyPrefix is the key prefix of the history that records the change.
 	historyPrefix string
 }
 
-// commit applies c exactly once or tells why not:
-//   - ConfigConflict: another change came first; nothing was done.
+// commit applies c exactly once, or returns one of these errors:
+//   - ConfigConflict: another change was applied first; nothing was done.
 //   - PlatformUnavailable: nothing was done.
 //   - PlatformUnknown: ctx ended before the outcome was known.
 //
-// Failure guarded against: the table applies the change and its answer is lost;
-// the operator would be told "failed" of a change in force, or, on trying again,
-// of a conflict with himself. So after a lost answer the rows are read back for
-// the change id. Finding the old version proves nothing: the lost commit may
-// still be under way. Committing again is safe, because both attempts hold only
-// while the same revision of the row stands, so one of them at most applies.
+// The table may apply the change and its answer be lost. Without further checks the
+// operator would get an error for a change that is in force or, on trying again, a
+// conflict with this same change. So after a lost answer the rows are read back to
+// find the change id. Finding the old version proves nothing: the lost commit may
+// still be in progress. Committing again is safe, because both attempts require the
+// same revision of the row, so at most one of them applies.
 func (s *Store) commit(ctx context.Context, c change) error {
-	sent := false
+	mayHaveApplied := false
 	for {
-		again, err := s.attempt(ctx, c, &sent)
+		again, err := s.attempt(ctx, c, &mayHaveApplied)
 		if !again {
 			return err
 		}
 		if err := s.Sleep(ctx, retryPause); err != nil {
-			return c.ended(sent, err)
+			return c.interrupted(mayHaveApplied, err)
 		}
 	}
 }
 
-// attempt reads, builds and commits once. It returns true when the outcome is
-// open or a row that c only checked has moved. sent: an earlier commit may have
-// taken effect.
-func (s *Store) attempt(ctx context.Context, c change, sent *bool) (bool, error) {
+// attempt reads the state, builds the writes and commits them once. It returns true
+// when the change must be attempted again, as its outcome is unknown or a row has
+// changed since it was read. mayHaveApplied is set once a commit may have taken
+// effect.
+func (s *Store) attempt(ctx context.Context, c change, mayHaveApplied *bool) (bool, error) {
 	state, err := s.Read(ctx)
 	if err != nil {
-		return *sent, err
+		return *mayHaveApplied, err
 	}
 	stamp := c.stampOf(state)
 	if stamp.Version != c.expect {
-		return s.settle(ctx, c, stamp, *sent)
+		return s.resolveOutcome(ctx, c, stamp, *mayHaveApplied)
 	}
 	writes, err := c.build(state)
 	if err != nil {
 		return false, err
 	}
 	out, err := s.Platform.Commit(ctx, platform.Txn{
-		// Both rows: a switch to a preset and a document that drops it must not
-		// both be accepted.
+		// The commit depends on both rows: a switch to a preset and a document
+		// that drops it must not both be accepted.
 		Conditions: []platform.Condition{
 			{Key: CurrentKey, Revision: state.configRevision},
 			{Key: PresetKey, Revision: state.presetRevision},
@@ -78,46 +79,47 @@
 	if err == nil {
 		return !out.Committed, nil
 	}
-	if errors.Is(err, platform.ErrUnavailable) && !*sent {
+	if errors.Is(err, platform.ErrUnavailable) && !*mayHaveApplied {
 		return false, unavailable(err)
 	}
-	*sent = true
+	*mayHaveApplied = true
 	return true, err
 }
 
-// settle decides once the version has moved past the expected one.
-func (s *Store) settle(ctx context.Context, c change, now Stamp, sent bool) (bool, error) {
-	if !sent {
-		return false, c.conflict(now)
+// resolveOutcome returns the outcome of c when the version in the table is not the
+// expected one.
+func (s *Store) resolveOutcome(ctx context.Context, c change, current Stamp, mayHaveApplied bool) (bool, error) {
+	if !mayHaveApplied {
+		return false, c.conflict(current)
 	}
-	var made Stamp
-	revision, err := s.row(ctx, historyKey(c.historyPrefix, c.expect+1), &made)
+	var recorded Stamp
+	revision, err := s.row(ctx, historyKey(c.historyPrefix, c.expect+1), &recorded)
 	if err != nil {
 		return true, err
 	}
 	if revision == 0 {
 		return false, result.New(result.PlatformUnknown, "change %s: the history no longer reaches back to it", c.changeID)
 	}
-	if made.ChangeID != c.changeID {
-		return false, c.conflict(made)
+	if recorded.ChangeID != c.changeID {
+		return false, c.conflict(recorded)
 	}
 	return false, nil
 }
 
 func (c change) conflict(winner Stamp) error {
 	return result.New(result.ConfigConflict, "%s: expected version %d, but version %d by %s at %s came first",
-		c.what, c.expect, winner.Version, winner.Operator, winner.At.UTC().Format("2006-01-02T15:04:05Z"))
+		c.name, c.expect, winner.Version, winner.Operator, winner.At.UTC().Format("2006-01-02T15:04:05Z"))
 }
 
-func (c change) ended(sent bool, err error) error {
-	if !sent {
+func (c change) interrupted(mayHaveApplied bool, err error) error {
+	if !mayHaveApplied {
 		return unavailable(err)
 	}
-	return result.New(result.PlatformUnknown, "change %s of %s: %v; look for it in the history", c.changeID, c.what, err)
+	return result.New(result.PlatformUnknown, "change %s of %s: %v; look for it in the history", c.changeID, c.name, err)
 }
 
-// historyWrites puts the row in place and in the history, and drops the version
-// that the history no longer keeps.
+// historyWrites returns the writes that store the record in its row and in the
+// history, and that delete the version that the history no longer keeps.
 func historyWrites(key, prefix string, version uint64, record any) ([]platform.Write, error) {
 	value, err := json.Marshal(record)
 	if err != nil {
@@ -133,5 +135,5 @@
 	return writes, nil
 }
 
-// historyKey pads the version, so that keys sort as versions do.
+// historyKey pads the version with zeros, so that keys sort in version order.
 func historyKey(prefix string, version uint64) string { return fmt.Sprintf("%s%020d", prefix, version) }
--- a/pkg/config/store/operations.go
+++ b/pkg/config/store/operations.go
@@ -9,17 +9,19 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// Apply makes doc the next version after expect (0: the first) and returns the
-// new version. It refuses with ConfigInvalid a document with errors or without
-// the preset in force, with ConfigConflict when another version came first. With
-// PlatformUnavailable nothing was done; with PlatformUnknown it may have been.
+// Apply stores doc as the version after expect, which is 0 for the first document,
+// and returns the new version. It returns ConfigInvalid when the document has
+// errors or lacks the preset in force, and ConfigConflict when another version was
+// applied first. After PlatformUnavailable nothing was changed; after
+// PlatformUnknown the change may have been applied.
 func (s *Store) Apply(ctx context.Context, doc *config.Document, expect uint64, operator string) (uint64, error) {
 	return s.apply(ctx, doc, expect, operator, 0)
 }
 
-// Rollback makes the content of an earlier version the next version after
-// expect. Versions go on upwards, so that no daemon takes it for an old one.
-// NotFound: the history does not keep that version; else as Apply.
+// Rollback stores the content of an earlier version as the version after expect.
+// It never reuses the earlier version number, so that no daemon rejects the
+// configuration as old. It returns NotFound when the history does not keep that
+// version, and otherwise the errors of Apply.
 func (s *Store) Rollback(ctx context.Context, version, expect uint64, operator string) (uint64, error) {
 	var old ConfigVersion
 	revision, err := s.row(ctx, historyKey(HistoryPrefix, version), &old)
@@ -37,7 +39,7 @@
 }
 
 func (s *Store) apply(ctx context.Context, doc *config.Document, expect uint64, operator string, rollbackOf uint64) (uint64, error) {
-	raw, err := checked(doc)
+	raw, err := encodeChecked(doc)
 	if err != nil {
 		return 0, err
 	}
@@ -47,17 +49,17 @@
 		RollbackOf: rollbackOf,
 	}
 	record.Blob = BlobPrefix + record.Hash
-	// The blob goes first: a row that names a blob not yet stored would break
+	// The blob is stored first: a row that names a blob not yet stored would break
 	// every daemon that reads it. A blob without a row does no harm.
 	if err := s.Platform.Put(ctx, record.Blob, raw); err != nil {
 		return 0, unavailable(err)
 	}
 	c := change{
-		what: "configuration", expect: expect, changeID: record.ChangeID, historyPrefix: HistoryPrefix,
-		stampOf: func(now State) Stamp { return now.Config.Stamp },
-		build: func(now State) ([]platform.Write, error) {
-			if !hasPreset(doc, now.Preset.Preset) {
-				return nil, result.New(result.ConfigInvalid, "the document lacks preset %q, which is in force", now.Preset.Preset)
+		name: "configuration", expect: expect, changeID: record.ChangeID, historyPrefix: HistoryPrefix,
+		stampOf: func(current State) Stamp { return current.Config.Stamp },
+		build: func(current State) ([]platform.Write, error) {
+			if !hasPreset(doc, current.Preset.Preset) {
+				return nil, result.New(result.ConfigInvalid, "the document lacks preset %q, which is in force", current.Preset.Preset)
 			}
 			return historyWrites(CurrentKey, HistoryPrefix, record.Version, record)
 		},
@@ -68,17 +70,18 @@
 	return record.Version, nil
 }
 
-// SwitchPreset puts a preset in force as the next switch after expect (0: never
-// switched) and returns its version. UnknownPreset: the current document lacks
-// it; NotFound: there is no document; else as Apply.
+// SwitchPreset puts a preset in force as the switch after expect, which is 0 when
+// the preset was never switched, and returns the version of the switch. It returns
+// UnknownPreset when the current document lacks the preset, NotFound when there is
+// no document, and otherwise the errors of Apply.
 func (s *Store) SwitchPreset(ctx context.Context, preset string, expect uint64, operator string) (uint64, error) {
 	record := PresetVersion{Stamp: s.stamp(expect+1, operator), Preset: preset}
-	var loaded cache
+	var loaded documentCache
 	c := change{
-		what: "preset", expect: expect, changeID: record.ChangeID, historyPrefix: SwitchPrefix,
-		stampOf: func(now State) Stamp { return now.Preset.Stamp },
-		build: func(now State) ([]platform.Write, error) {
-			doc, err := loaded.load(ctx, s, now.Config)
+		name: "preset", expect: expect, changeID: record.ChangeID, historyPrefix: SwitchPrefix,
+		stampOf: func(current State) Stamp { return current.Preset.Stamp },
+		build: func(current State) ([]platform.Write, error) {
+			doc, err := loaded.load(ctx, s, current.Config)
 			if err != nil {
 				return nil, err
 			}
@@ -94,13 +97,13 @@
 	return record.Version, nil
 }
 
-// cache keeps the document between the attempts of one switch.
-type cache struct {
+// documentCache keeps the current document between the attempts of one switch.
+type documentCache struct {
 	version uint64
 	doc     *config.Document
 }
 
-func (c *cache) load(ctx context.Context, s *Store, v ConfigVersion) (*config.Document, error) {
+func (c *documentCache) load(ctx context.Context, s *Store, v ConfigVersion) (*config.Document, error) {
 	if v.Version == 0 {
 		return nil, result.New(result.NotFound, "no configuration was applied yet")
 	}
@@ -119,9 +122,9 @@
 	return Stamp{Version: version, Operator: operator, At: s.Now(), ChangeID: s.NewChangeID()}
 }
 
-// checked writes the document canonically and refuses one that Parse would: it
-// may have been built by a program and never parsed.
-func checked(doc *config.Document) ([]byte, error) {
+// encodeChecked returns the canonical form of the document, or an error when Parse
+// would reject it: the document may have been built by a program and never parsed.
+func encodeChecked(doc *config.Document) ([]byte, error) {
 	raw, err := config.Canonical(doc)
 	if err != nil {
 		return nil, err
--- a/pkg/config/store/store.go
+++ b/pkg/config/store/store.go
@@ -1,7 +1,7 @@
-// Package store keeps the configuration on the platform: documents as blobs of
-// the object store, and which one counts, with the preset in force, as rows of
-// the table. Every change is one compare-and-set, so of two operators at once
-// one wins and the other is told what it lost to.
+// Package store keeps the configuration on the platform: documents as blobs in
+// the object store, and the current document and preset as rows of the table.
+// Every change is one compare-and-set: of two concurrent changes one succeeds,
+// and the error of the other describes the one that succeeded.
 package store
 
 import (
@@ -14,9 +14,9 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// Keys of the table and names of the object store. Current is the prefix of the
-// two rows that count and of nothing else: one scan of it is a consistent read
-// of both, and daemons that poll it do not read the history.
+// Keys of the table and names in the object store. CurrentPrefix is the prefix of
+// only the two rows of the current document and preset: one scan of it reads both
+// consistently, and daemons that poll it do not read the history.
 const (
 	CurrentPrefix = "config/"
 	CurrentKey    = CurrentPrefix + "current"
@@ -26,20 +26,23 @@
 	BlobPrefix    = "config-blobs/"
 )
 
-// HistoryLength is the number of versions that the history keeps.
+// HistoryLength is the number of versions kept in each history.
 const HistoryLength = 200
 
-// retryPause is the wait before a change of unknown outcome is looked up again.
+// retryPause is the wait before a change is tried again or its unknown outcome is
+// looked up.
 const retryPause = 100 * time.Millisecond
 
-// Stamp says who made a change and when.
+// Stamp records who made a change and when.
 type Stamp struct {
 	// Version counts from 1.
 	Version  uint64 `json:"version"`
 	Operator string `json:"operator"`
-	// At is the operator's wall clock, for people only; nothing is decided by it.
+	// At is the operator's wall-clock time. It is only displayed; no decision
+	// depends on it.
 	At time.Time `json:"at"`
-	// ChangeID tells a writer whose answer was lost its own change from another's.
+	// ChangeID lets a writer whose answer was lost distinguish its own change from
+	// another's.
 	ChangeID string `json:"change_id"`
 }
 
@@ -48,36 +51,37 @@
 	Stamp
 	Blob string `json:"blob"`
 	Hash string `json:"hash"`
-	// RollbackOf is the version whose content was taken over; 0: none.
+	// RollbackOf is the version whose content a rollback restored, or 0.
 	RollbackOf uint64 `json:"rollback_of,omitempty"`
 }
 
-// PresetVersion is the row of one accepted switch.
+// PresetVersion is the row of one accepted preset switch.
 type PresetVersion struct {
 	Stamp
 	Preset string `json:"preset"`
 }
 
-// Platform is the part of the platform's service that the store needs.
+// Platform is the part of the platform's API that the store needs.
 type Platform interface {
 	platform.Table
 	platform.Objects
 }
 
-// Store reads and changes the configuration. Its functions come from outside, so
-// that tests set them.
+// Store reads and changes the configuration. Its clock, id generator and sleep
+// function are fields, so that tests can replace them.
 type Store struct {
 	Platform Platform
 	// Now is the wall clock for stamps.
 	Now func() time.Time
-	// NewChangeID returns an id never used before.
+	// NewChangeID returns an id that was never used before.
 	NewChangeID func() string
-	// Sleep waits for d, or until ctx ends and then returns its error.
+	// Sleep waits for d. If ctx ends first, Sleep returns the error of ctx.
 	Sleep func(ctx context.Context, d time.Duration) error
 }
 
-// State is what counts now. Version 0 of the document: none was applied;
-// version 0 of the preset: ordinary, never switched.
+// State is the current document and preset. Config has version 0 when no document
+// was applied yet. Preset has version 0 when the preset was never switched and the
+// ordinary one is in force.
 type State struct {
 	Config ConfigVersion
 	Preset PresetVersion
@@ -86,12 +90,12 @@
 	presetRevision uint64
 }
 
-// Versions returns both versions.
+// Versions returns the versions of the document and of the preset switch.
 func (s State) Versions() config.Versions {
 	return config.Versions{Config: s.Config.Version, Preset: s.Preset.Version}
 }
 
-// Read returns what counts now, as of one instant, or PlatformUnavailable.
+// Read returns the current state as of one instant, or PlatformUnavailable.
 func (s *Store) Read(ctx context.Context) (State, error) {
 	rows, _, err := s.Platform.Scan(ctx, CurrentPrefix, 0)
 	if err != nil {
@@ -100,7 +104,8 @@
 	return StateOf(rows)
 }
 
-// StateOf reads the state from the rows below CurrentPrefix, all of one scan.
+// StateOf decodes the state from the rows under CurrentPrefix, which must come
+// from one scan.
 func StateOf(rows []platform.Row) (State, error) {
 	state := State{Preset: PresetVersion{Preset: config.OrdinaryPreset}}
 	for _, row := range rows {
@@ -121,7 +126,8 @@
 	return state, nil
 }
 
-// row reads one row into out and returns its revision; 0: there is none.
+// row decodes one row into out and returns its revision, or 0 when there is no
+// such row.
 func (s *Store) row(ctx context.Context, key string, out any) (uint64, error) {
 	rows, _, err := s.Platform.Scan(ctx, key, 0)
 	if err != nil {
@@ -135,8 +141,8 @@
 	return 0, nil
 }
 
-// Load returns the document of a version. A blob that is missing or does not
-// match its hash is Internal: the platform lost what it had accepted.
+// Load returns the document of a version. It returns Internal when the blob is
+// missing or does not match its hash: the platform lost an accepted document.
 func (s *Store) Load(ctx context.Context, v ConfigVersion) (*config.Document, error) {
 	raw, found, err := s.Platform.Get(ctx, v.Blob)
 	if err != nil {
@@ -149,12 +155,12 @@
 	return doc, config.Err(problems)
 }
 
-// History returns the kept versions, oldest first.
+// History returns the versions in the history, oldest first.
 func (s *Store) History(ctx context.Context) ([]ConfigVersion, error) {
 	return scanAll[ConfigVersion](ctx, s, HistoryPrefix)
 }
 
-// Switches returns the kept switches of the preset, oldest first.
+// Switches returns the preset switches in the history, oldest first.
 func (s *Store) Switches(ctx context.Context) ([]PresetVersion, error) {
 	return scanAll[PresetVersion](ctx, s, SwitchPrefix)
 }
--- a/pkg/config/store/store_test.go
+++ b/pkg/config/store/store_test.go
@@ -33,7 +33,7 @@
 	Expect(err).NotTo(HaveOccurred())
 	doc, problems := config.Parse("kalakvoot.json", raw)
 	Expect(problems).To(BeEmpty())
-	// Small, as the runs below parse it very often.
+	// The document is kept small, as the property test below parses it very often.
 	doc.Groups, doc.Classes = doc.Groups[:1], doc.Classes[:1]
 	for i := range doc.Presets {
 		doc.Presets[i].Classes = nil
@@ -41,54 +41,56 @@
 	return doc
 }
 
-// faulty is the platform with outages, answers lost after or before the change
-// took effect, and commits that arrive late, drawn call by call. Between calls
-// the other operator may act.
-type faulty struct {
+// faultyPlatform is the platform with faults drawn for every call: outages, answers
+// lost before or after the commit took effect, and commits that take effect late.
+// Between calls the other operator may make a change.
+type faultyPlatform struct {
 	*platform.Memory
 	draw func(name string, n int) int
-	// late are commits whose answer was lost and that have not arrived yet.
-	late  []platform.Txn
-	other func()
+	// delayed holds commits whose answer was lost and that have not taken effect
+	// yet.
+	delayed       []platform.Txn
+	otherOperator func()
 }
 
+// Outcomes that are drawn for a commit. Values up to noFault mean no fault.
 const (
-	calm = iota + 5
+	noFault = iota + 5
 	outage
 	lostAnswer
 	lostRequest
-	lateRequest
-	kinds
+	delayedRequest
+	commitOutcomes
 )
 
-func (f *faulty) step() {
-	if len(f.late) > 0 && f.draw("arrives", 3) == 0 {
-		f.arrive()
+func (f *faultyPlatform) betweenCalls() {
+	if len(f.delayed) > 0 && f.draw("delayed commit takes effect", 3) == 0 {
+		f.applyDelayed()
 	}
-	if f.other != nil && f.draw("other acts", 6) == 0 {
-		act := f.other
-		f.other = nil
-		act()
-		f.other = act
+	if f.otherOperator != nil && f.draw("other operator makes a change", 6) == 0 {
+		change := f.otherOperator
+		f.otherOperator = nil
+		change()
+		f.otherOperator = change
 	}
 }
 
-func (f *faulty) arrive() {
-	_, _ = f.Memory.Commit(context.Background(), f.late[0])
-	f.late = f.late[1:]
+func (f *faultyPlatform) applyDelayed() {
+	_, _ = f.Memory.Commit(context.Background(), f.delayed[0])
+	f.delayed = f.delayed[1:]
 }
 
-func (f *faulty) Scan(ctx context.Context, prefix string, since uint64) ([]platform.Row, uint64, error) {
-	f.step()
+func (f *faultyPlatform) Scan(ctx context.Context, prefix string, since uint64) ([]platform.Row, uint64, error) {
+	f.betweenCalls()
 	if f.draw("scan", 8) == 0 {
 		return nil, 0, platform.ErrUnavailable
 	}
 	return f.Memory.Scan(ctx, prefix, since)
 }
 
-func (f *faulty) Commit(ctx context.Context, txn platform.Txn) (platform.Outcome, error) {
-	f.step()
-	switch f.draw("commit", kinds) {
+func (f *faultyPlatform) Commit(ctx context.Context, txn platform.Txn) (platform.Outcome, error) {
+	f.betweenCalls()
+	switch f.draw("commit", commitOutcomes) {
 	case outage:
 		return platform.Outcome{}, platform.ErrUnavailable
 	case lostAnswer:
@@ -96,45 +98,47 @@
 		return platform.Outcome{}, platform.ErrUnknown
 	case lostRequest:
 		return platform.Outcome{}, platform.ErrUnknown
-	case lateRequest:
-		f.late = append(f.late, txn)
+	case delayedRequest:
+		f.delayed = append(f.delayed, txn)
 		return platform.Outcome{}, platform.ErrUnknown
 	}
 	return f.Memory.Commit(ctx, txn)
 }
 
-// bench is two operators on one platform, with the books that the test keeps.
-type bench struct {
-	t        *rapid.T
-	platform *faulty
-	clean    *store.Store
-	docs     []*config.Document
-	ids      int
-	// accepted and refused hold change ids as the operators were told.
+// harness runs two operators on one platform and records the answers that they get.
+type harness struct {
+	t         *rapid.T
+	platform  *faultyPlatform
+	reliable  *store.Store
+	documents []*config.Document
+	ids       int
+	// accepted and refused hold the answer for each change id: the version of an
+	// accepted change, and the error of one reported as not run.
 	accepted map[string]uint64
 	refused  map[string]error
 	highest  config.Versions
 }
 
-func newBench(t *rapid.T, docs []*config.Document) *bench {
-	b := &bench{t: t, docs: docs, accepted: map[string]uint64{}, refused: map[string]error{}}
-	b.platform = &faulty{Memory: platform.NewMemory()}
-	b.platform.draw = func(name string, n int) int { return rapid.IntRange(0, n-1).Draw(t, name) }
-	b.platform.other = func() { b.act("other") }
-	b.clean = &store.Store{Platform: b.platform.Memory}
-	return b
+func newHarness(t *rapid.T, documents []*config.Document) *harness {
+	h := &harness{t: t, documents: documents, accepted: map[string]uint64{}, refused: map[string]error{}}
+	h.platform = &faultyPlatform{Memory: platform.NewMemory()}
+	h.platform.draw = func(name string, n int) int { return rapid.IntRange(0, n-1).Draw(t, name) }
+	h.platform.otherOperator = func() { h.runOperator("other") }
+	h.reliable = &store.Store{Platform: h.platform.Memory}
+	return h
 }
 
-// act runs one operator's change, from what it sees to what it is told.
-func (b *bench) act(operator string) {
+// runOperator makes one operator's change to the state that it reads, and records
+// the answer.
+func (h *harness) runOperator(operator string) {
 	id := ""
-	sleeps := b.platform.draw("patience", 12)
+	sleeps := h.platform.draw("sleeps before the deadline", 12)
 	s := &store.Store{
-		Platform: b.platform,
+		Platform: h.platform,
 		Now:      func() time.Time { return time.Unix(0, 0) },
 		NewChangeID: func() string {
-			b.ids++
-			id = fmt.Sprintf("%s-%d", operator, b.ids)
+			h.ids++
+			id = fmt.Sprintf("%s-%d", operator, h.ids)
 			return id
 		},
 		Sleep: func(context.Context, time.Duration) error {
@@ -145,121 +149,123 @@
 			return nil
 		},
 	}
-	version, err := b.change(s, operator)
-	b.told(id, operator, version, err)
+	version, err := h.change(s, operator)
+	h.answered(id, operator, version, err)
 }
 
-func (b *bench) change(s *store.Store, operator string) (uint64, error) {
+func (h *harness) change(s *store.Store, operator string) (uint64, error) {
 	ctx := context.Background()
-	seen, err := b.clean.Read(ctx)
+	seen, err := h.reliable.Read(ctx)
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	switch b.platform.draw("change", 4) {
+	switch h.platform.draw("change", 4) {
 	case 0:
-		preset := []string{"ordinary", "peak"}[b.platform.draw("preset", 2)]
+		preset := []string{"ordinary", "peak"}[h.platform.draw("preset", 2)]
 		return s.SwitchPreset(ctx, preset, seen.Preset.Version, operator)
 	case 1:
 		return s.Rollback(ctx, 1, seen.Config.Version, operator)
 	default:
-		doc := b.docs[b.platform.draw("document", len(b.docs))]
+		doc := h.documents[h.platform.draw("document", len(h.documents))]
 		return s.Apply(ctx, doc, seen.Config.Version, operator)
 	}
 }
 
-func (b *bench) told(id, operator string, version uint64, err error) {
+// answered records the answer to one change.
+func (h *harness) answered(id, operator string, version uint64, err error) {
 	if err == nil {
-		b.accepted[id] = version
+		h.accepted[id] = version
 		return
 	}
-	told := result.From(err)
-	if told.Code == result.Internal || told.Code == result.InvariantBroken {
-		b.t.Fatal(err)
+	answered := result.From(err)
+	if answered.Code == result.Internal || answered.Code == result.InvariantBroken {
+		h.t.Fatal(err)
 	}
-	if told.Ran == result.NotRun && id != "" {
-		b.refused[id] = err
+	if answered.Ran == result.NotRun && id != "" {
+		h.refused[id] = err
 	}
 }
 
-// check compares the platform with what the operators were told.
-func (b *bench) check() {
+// check compares the state and the history on the platform with the recorded
+// answers.
+func (h *harness) check() {
 	ctx := context.Background()
-	state, err := b.clean.Read(ctx)
-	if err != nil || !state.Versions().AtLeast(b.highest) {
-		b.t.Fatalf("%+v after %+v: %v", state.Versions(), b.highest, err)
+	state, err := h.reliable.Read(ctx)
+	if err != nil || !state.Versions().AtLeast(h.highest) {
+		h.t.Fatalf("%+v after %+v: %v", state.Versions(), h.highest, err)
 	}
-	b.highest = state.Versions()
+	h.highest = state.Versions()
 	stamps := map[string]uint64{}
-	configs, _ := b.clean.History(ctx)
+	configs, _ := h.reliable.History(ctx)
 	for i, v := range configs {
-		b.inOrder(stamps, v.Stamp, i)
+		h.checkStamp(stamps, v.Stamp, i)
 	}
-	switches, _ := b.clean.Switches(ctx)
+	switches, _ := h.reliable.Switches(ctx)
 	for i, v := range switches {
-		b.inOrder(stamps, v.Stamp, i)
+		h.checkStamp(stamps, v.Stamp, i)
 	}
-	for id, version := range b.accepted {
+	for id, version := range h.accepted {
 		if stamps[id] != version {
-			b.t.Fatalf("%s was told version %d; the history has %d", id, version, stamps[id])
+			h.t.Fatalf("%s was accepted as version %d; the history has %d", id, version, stamps[id])
 		}
 	}
-	for id, why := range b.refused {
-		if _, made := stamps[id]; made {
-			b.t.Fatalf("%s was told %v, but is in the history", id, why)
+	for id, reason := range h.refused {
+		if _, recorded := stamps[id]; recorded {
+			h.t.Fatalf("%s was refused with %v, but is in the history", id, reason)
 		}
 	}
-	b.presetExists(state)
+	h.checkPreset(state)
 }
 
-func (b *bench) inOrder(stamps map[string]uint64, s store.Stamp, i int) {
-	if _, twice := stamps[s.ChangeID]; twice || s.Version != uint64(i+1) {
-		b.t.Fatalf("history entry %d is %+v, twice: %v", i, s, twice)
+func (h *harness) checkStamp(stamps map[string]uint64, s store.Stamp, i int) {
+	if _, duplicate := stamps[s.ChangeID]; duplicate || s.Version != uint64(i+1) {
+		h.t.Fatalf("history entry %d is %+v, duplicate: %v", i, s, duplicate)
 	}
 	stamps[s.ChangeID] = s.Version
 }
 
-func (b *bench) presetExists(state store.State) {
+func (h *harness) checkPreset(state store.State) {
 	if state.Config.Version == 0 {
 		return
 	}
-	doc, err := b.clean.Load(context.Background(), state.Config)
+	doc, err := h.reliable.Load(context.Background(), state.Config)
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	if _, err := config.Effective(doc, state.Preset.Preset); err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 }
 
 var _ = Describe("Store", func() {
 	// Two operators change documents and presets at the same time. The platform
 	// has outages, loses answers after the change took effect, loses requests,
-	// and applies requests long after their sender gave up. An operator who was
-	// told "accepted" finds the change in the history exactly once, one who was
-	// told "not run" never finds it, and versions only go up.
-	It("does what it tells, whatever the platform does", func() {
+	// and applies requests long after their sender gave up. A change reported as
+	// accepted must be in the history exactly once, one reported as not run must
+	// never be there, and versions must only increase.
+	It("keeps the history consistent with the answers under platform faults", func() {
 		full, small := document(), document()
 		small.Presets = small.Presets[:1]
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			b := newBench(t, []*config.Document{full, small})
+			h := newHarness(t, []*config.Document{full, small})
 			t.Repeat(map[string]func(*rapid.T){
-				"change": func(*rapid.T) { b.act("one") },
+				"change": func(*rapid.T) { h.runOperator("one") },
 				"arrive": func(t *rapid.T) {
-					if len(b.platform.late) == 0 {
-						t.Skip("nothing is late")
+					if len(h.platform.delayed) == 0 {
+						t.Skip("no commit is delayed")
 					}
-					b.platform.arrive()
+					h.platform.applyDelayed()
 				},
-				"": func(*rapid.T) { b.check() },
+				"": func(*rapid.T) { h.check() },
 			})
-			for len(b.platform.late) > 0 {
-				b.platform.arrive()
+			for len(h.platform.delayed) > 0 {
+				h.platform.applyDelayed()
 			}
-			b.check()
+			h.check()
 		})
 	})
 
-	Context("on a calm platform", func() {
+	Context("on a platform without faults", func() {
 		var s *store.Store
 		ctx := context.Background()
 		code := func(_ uint64, err error) result.Code { return result.From(err).Code }
@@ -274,13 +280,13 @@
 			Expect(s.Apply(ctx, document(), 0, "mari")).To(Equal(uint64(1)))
 		})
 
-		It("tells the loser what it lost to", func() {
+		It("reports the change that came first on a conflict", func() {
 			_, err := s.Apply(ctx, document(), 0, "piero")
 			Expect(result.From(err).Code).To(Equal(result.ConfigConflict))
 			Expect(err).To(MatchError(ContainSubstring("version 1 by mari at 1970-01-12T13:46:40Z")))
 		})
 
-		It("refuses a document without the preset in force and a preset without a document", func() {
+		It("rejects a document without the preset in force, and an unknown preset or version", func() {
 			Expect(s.SwitchPreset(ctx, "peak", 0, "mari")).To(Equal(uint64(1)))
 			small := document()
 			small.Presets = small.Presets[:1]
@@ -289,7 +295,7 @@
 			Expect(code(s.Rollback(ctx, 9, 1, "piero"))).To(Equal(result.NotFound))
 		})
 
-		It("rolls back by a new version with the old content", func() {
+		It("rolls back by adding a version with the old content", func() {
 			next := document()
 			next.Members[0].Weight = 99
 			Expect(s.Apply(ctx, next, 1, "mari")).To(Equal(uint64(2)))
