--- a/internal/entry/baseline.go
+++ b/internal/entry/baseline.go
@@ -5,19 +5,20 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Baseline is a simpler way of routing, to measure against. It keeps fewer
-// promises and is no mode of operation.
+// Baseline is a simpler routing policy to compare measurements with. It gives
+// weaker consistency guarantees and is not meant for production.
 type Baseline string
 
-// The baselines; the empty one routes in earnest.
+// The baselines. The empty value selects the regular routing.
 const (
 	// PrimaryOnly sends everything to the primary.
 	PrimaryOnly Baseline = "primary_only"
-	// RandomReplica sends reads to any replica, without a floor or an age.
+	// RandomReplica sends reads to any replica, regardless of the
+	// session's floor and of the class's staleness bound.
 	RandomReplica Baseline = "random_replica"
 )
 
-// chooseBaseline picks the target as the baseline does.
+// chooseBaseline picks the target according to the baseline.
 func (r *router) chooseBaseline(b Baseline, row *topology.Group, write bool) (destination, *result.Error) {
 	d := destination{target: row.Primary, term: row.Term}
 	if b == RandomReplica && !write {
--- a/internal/entry/cancel.go
+++ b/internal/entry/cancel.go
@@ -13,25 +13,25 @@
 const (
 	// cancelTimeout bounds the delivery of a cancel request.
 	cancelTimeout = 2 * time.Second
-	// cancelRetry is how soon a pooler that does not know the request yet is
-	// told again: the cancel may have overtaken it.
+	// cancelRetry is the delay before a cancel request is repeated at a pooler
+	// that has not received the request yet: the cancel may have overtaken it.
 	cancelRetry = 10 * time.Millisecond
 )
 
-// flight is the request that a session has under way.
+// flight is the request that a session is executing.
 type flight struct {
-	stop      context.CancelFunc // ends its waits; nil: no request is under way
+	stop      context.CancelFunc // ends the request's waits; nil when there is no request
 	hop       *hop               // nil between attempts
 	cancelled bool
 }
 
-// hop is an attempt as its pooler knows it.
+// hop is one attempt of a request at a pooler.
 type hop struct {
 	pooler topology.VM
 	cancel *peerpb.CancelRequest
 }
 
-// beginFlight makes the request known to cancel requests.
+// beginFlight registers the request, so that cancel requests find it.
 func (s *caller) beginFlight(stop context.CancelFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,7 +44,8 @@
 	s.flight = flight{}
 }
 
-// beginHop notes the attempt; false when the request was cancelled before.
+// beginHop registers the attempt. It returns false when the request has been
+// cancelled already.
 func (s *caller) beginHop(pooler topology.VM, msg *peerpb.ExecuteRequest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,8 +64,9 @@
 	s.flight.hop = nil
 }
 
-// cancelRequest ends the request under way, if any. At a pooler the statement is
-// cancelled at its target; the answer then tells what became of it.
+// cancelRequest cancels the request in progress, if any. When the request is at a
+// pooler, the pooler cancels the statement at its target, and the answer reports
+// whether it has run.
 func (s *caller) cancelRequest() {
 	ctx, done := context.WithTimeout(context.Background(), cancelTimeout)
 	defer done()
@@ -77,8 +79,8 @@
 	}
 }
 
-// markCancelled returns the attempt under way. Without one the request waits at
-// this entry, and its waits end.
+// markCancelled returns the attempt in progress. Between attempts it returns nil
+// and ends the request's waits at this entry.
 func (s *caller) markCancelled() *hop {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,8 +100,8 @@
 	return s.flight.hop
 }
 
-// cancelled says that a request which the caller cancelled has not run; nil when
-// it was not cancelled or may have run.
+// cancelled returns the Cancelled result of a request that was cancelled before
+// it ran, or nil when the request was not cancelled or may have run.
 func (s *caller) cancelled(failure *result.Error) *result.Error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/entry/crossed_test.go
+++ b/internal/entry/crossed_test.go
@@ -19,8 +19,8 @@
 	"github.com/buckthornshore/buckthornshore/rpc/peerpb"
 )
 
-// lateAnswers is a pooler that answers each request but the first with the answer
-// to the one before.
+// lateAnswers is a pooler that answers every request after the first with the answer
+// to the previous request.
 type lateAnswers struct {
 	peerpb.Pooler
 	before *peerpb.ExecuteResponse
@@ -37,9 +37,9 @@
 }
 
 var _ = Describe("An answer that crossed", func() {
-	// The second caller sees a failure and never the first one's rows. Between
-	// entry and pooler an answer comes late and is taken for the next request's;
-	// its hop id is another's, so it is dropped.
+	// Guards against a caller receiving the rows of another. An answer that arrives
+	// late on the connection between entry and pooler is read as the answer to the
+	// next request. It has another hop id, so the entry must discard it.
 	It("reaches nobody else", func() {
 		pooler := httptest.NewServer(peerpb.NewPoolerServer(&lateAnswers{}))
 		defer pooler.Close()
--- a/internal/entry/drain.go
+++ b/internal/entry/drain.go
@@ -11,29 +11,34 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// leavingParameter tells a session that its daemon leaves: its next request is
-// still served, and the connection ends after that answer.
+// leavingParameter is the parameter status that announces to a session that its
+// daemon is shutting down: the daemon still serves the session's next request and
+// closes the connection after that answer.
 const leavingParameter = optionPrefix + "leaving"
 
-// lingerTime is how long a connection that was ended is still read from.
+// lingerTime bounds how long a connection is read from after its sending side
+// was closed.
 const lingerTime = time.Second
 
-// drainState is what a session's own goroutine knows of its end.
+// drainState is the state of a session while its daemon shuts down. Only the
+// session's own goroutine uses it.
 type drainState struct {
-	told   bool // the caller was told that the daemon leaves
-	served bool // and has had a request served since
+	told   bool // the shutdown was announced to the caller
+	served bool // a request was served since the announcement
 }
 
-// countUnit notes that the unit about to be served is the last one. One that
-// only prepares a statement does not count: its caller is about to run it.
+// countUnit records that the unit about to be served is the session's last one.
+// A unit that only prepares a statement does not count, since the caller will
+// execute the statement next.
 func (d *drainState) countUnit(u *unit) {
 	if d.told && u.runs {
 		d.served = true
 	}
 }
 
-// Leave refuses new sessions and asks the open ones to go: a session that stays
-// idle is ended at grace. It returns at once and may be called again.
+// Leave refuses new sessions and announces the shutdown to the open ones. A
+// session that stays idle is ended at the time grace. Leave returns at once and
+// may be called again.
 func (s *Server) Leave(grace time.Time) {
 	s.mu.Lock()
 	s.leaving = true
@@ -47,7 +52,8 @@
 	}
 }
 
-// leave wakes the session between requests.
+// leave sets the time at which the session ends and, if the session is idle,
+// interrupts its wait for the next request.
 func (s *caller) leave(grace time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,14 +66,16 @@
 	}
 }
 
-// leavingAt returns when an idle session ends; the zero time: not at all.
+// leavingAt returns the time at which an idle session is ended, or the zero time
+// while the daemon is not shutting down.
 func (s *caller) leavingAt() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.grace
 }
 
-// setIdle returns the session's grace, noting first whether it is idle.
+// setIdle records whether the session is idle and returns the time at which an
+// idle session is ended, as leavingAt does.
 func (s *caller) setIdle(idle bool) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,11 +83,11 @@
 	return s.grace
 }
 
-// errLeaving ends a session of a daemon that leaves.
-var errLeaving = errors.New("entry: leaving")
+// errLeaving ends a session of a daemon that is shutting down.
+var errLeaving = errors.New("entry: daemon is shutting down")
 
-// receive waits for a message. A daemon that leaves interrupts it only between
-// requests and outside transactions; a message that has come in part is kept.
+// receive waits for the next message. A shutdown interrupts it only between
+// requests and outside transactions; a partly received message is kept.
 func (s *caller) receive() (pgproto3.FrontendMessage, error) {
 	for {
 		if err := s.beforeReceive(); err != nil {
@@ -96,7 +104,8 @@
 	}
 }
 
-// beforeReceive tells a session that may end of the leaving, or ends it.
+// beforeReceive announces a shutdown to an idle session, or returns errLeaving when
+// the session has to end.
 func (s *caller) beforeReceive() error {
 	if s.tx != nil || !s.unit.empty() {
 		return nil
@@ -123,10 +132,10 @@
 	return s.backend.Flush()
 }
 
-// endLeaving ends the connection in order. Failure: the caller has just sent a
-// request; closing with it unread resets the connection, and the caller may lose
-// the answer before it or the refusal that says "not run". So only the sending
-// side is closed, and the rest read for a moment.
+// endLeaving reports the shutdown to the caller and ends the connection. Closing a
+// connection with unread data resets it. If the caller has just sent a request, it
+// may then lose the previous answer, or the error that reports the request as not
+// run. So endLeaving closes only the sending side and reads on for lingerTime.
 func (s *caller) endLeaving() error {
 	_ = s.net.SetDeadline(time.Now().Add(lingerTime))
 	failure := s.fatal(result.New(result.Leaving, "%s", s.server.o.View.Self().ID).After(comeBack))
--- a/internal/entry/explain.go
+++ b/internal/entry/explain.go
@@ -8,9 +8,11 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Explain says where a request of the class would go from here now, and why.
-// floor is what a read must find; for a class without staleness a real read
-// fetches the newest position first, so without a floor any replica fits here.
+// Explain reports which target would be chosen at present for a request of the
+// class that arrives at this entry, and why. floor is the lowest position that the
+// target of a read must have applied. A real read of a class without staleness
+// fetches the newest position first; Explain does not, so that with an empty floor
+// every replica qualifies.
 func (s *Server) Explain(group topology.GroupID, class config.Class, floor position.Position) (*routing.Explanation, *result.Error) {
 	row := s.o.View.Group(group)
 	if row == nil {
@@ -23,7 +25,8 @@
 	return s.router.explain(row, need)
 }
 
-// explain weighs the group's targets; the explanation is valid with a failure, too.
+// explain rates the group's targets and chooses one. The explanation is valid also
+// when a failure is returned.
 func (r *router) explain(row *topology.Group, req routing.Request) (*routing.Explanation, *result.Error) {
 	targets := r.configured(row.ID)
 	r.mu.Lock()
--- a/internal/entry/floors.go
+++ b/internal/entry/floors.go
@@ -12,20 +12,21 @@
 	"github.com/buckthornshore/buckthornshore/rpc/peerpb"
 )
 
-// fetched is what a read gets from the fetch that it waited for.
+// fetched is the result of a position fetch for one of the reads that waited for it.
 type fetched struct {
 	newest  position.Position
-	session position.Position // of the read's own session, if it named one
+	session position.Position // floor of the read's session; newest if it has none
 	err     *result.Error
 }
 
-// waiter is a read that waits for a fetch.
+// waiter is a read that waits for a position fetch.
 type waiter struct {
 	session string
 	result  chan fetched
 }
 
-// floorTable holds the fetches of all groups and the reads that wait for them.
+// floorTable holds the position fetches of all groups and the reads that wait for
+// them.
 type floorTable struct {
 	fetches *routing.FloorFetches
 	waiters map[topology.GroupID]map[routing.WaiterID]waiter
@@ -40,8 +41,8 @@
 }
 
 // fetchFloor asks the primary's pooler for the newest position and, when session
-// is not empty, for the session's floor. The fetch begins after this call did;
-// it is shared with the other reads that wait for the group.
+// is not empty, for the session's floor. The fetch never starts before the call, and
+// is shared with the other waiting reads of the group.
 func (r *router) fetchFloor(ctx context.Context, group topology.GroupID, session string) (fetched, *result.Error) {
 	key := routing.FetchKey{Group: group}
 	w := waiter{session: session, result: make(chan fetched, 1)}
@@ -73,7 +74,7 @@
 	delete(r.floors.waiters[key.Group], id)
 }
 
-// runFetches carries out a fetch and those that follow it.
+// runFetches runs a fetch and then, one by one, the fetches that endFetch returns.
 func (r *router) runFetches(start routing.StartFetch) {
 	for next := &start; next != nil; {
 		sessions := r.waitingSessions(next.Key.Group)
@@ -83,7 +84,7 @@
 	}
 }
 
-// waitingSessions lists the sessions of the reads that wait when a fetch starts.
+// waitingSessions returns the sessions of the group's waiting reads.
 func (r *router) waitingSessions(group topology.GroupID) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -118,13 +119,14 @@
 	if err != nil {
 		failure := peers.HopResult(vm, err)
 		failure.Code = result.PoolerUnreachable
-		failure.Ran = result.NotRun // It only asked.
+		failure.Ran = result.NotRun // Reading a position executes nothing.
 		return nil, failure
 	}
 	return resp, peers.Result(resp.Failure)
 }
 
-// endFetch hands the result to the reads that waited, and returns the next fetch.
+// endFetch delivers the result to the reads that waited for it. It returns the next
+// fetch, or nil if no read needs one.
 func (r *router) endFetch(f routing.StartFetch, sessions []string, begun mono.Time, resp *peerpb.PositionResponse, failure *result.Error) *routing.StartFetch {
 	newest := peers.Position(resp.GetPosition())
 	floors := map[string]position.Position{}
--- a/internal/entry/fuzz_test.go
+++ b/internal/entry/fuzz_test.go
@@ -7,8 +7,8 @@
 	"github.com/buckthornshore/buckthornshore/internal/pgwire"
 )
 
-// FuzzParseLocal: what is taken comes off the front of the text; a plain SET that
-// is made of any value gives that value back.
+// FuzzParseLocal checks that a parsed statement is removed from the front of the
+// text, and that a SET of any quoted value parses to that value.
 func FuzzParseLocal(f *testing.F) {
 	f.Add("set buckthornshore.class = 'a''b'; select 1", "x")
 	f.Add("SET SESSION Buckthornshore.token TO abc", "it's")
@@ -17,20 +17,20 @@
 	f.Fuzz(func(t *testing.T, sql, value string) {
 		l, rest, ok := parseLocal(sql)
 		if !strings.HasSuffix(sql, rest) || ok && len(rest) == len(sql) {
-			t.Fatalf("%q left of %q", rest, sql)
+			t.Fatalf("parsing left %q of %q", rest, sql)
 		}
 		if ok && l.tag() == "" {
-			t.Fatal("a statement without a tag")
+			t.Fatal("the statement has no command tag")
 		}
 		l, rest, ok = parseLocal("set buckthornshore.class = '" + strings.ReplaceAll(value, "'", "''") + "'")
 		if !ok || rest != "" || l.value != value {
-			t.Fatalf("%q became %q, rest %q", value, l.value, rest)
+			t.Fatalf("value %q was parsed as %q, with the rest %q", value, l.value, rest)
 		}
 	})
 }
 
-// FuzzSplice: the caller's answer holds the target's frames in their order, but
-// for the injected ones, and each own answer at most once.
+// FuzzSplice checks that the caller's answer consists of complete frames and holds
+// each of the entry's own answers at most once.
 func FuzzSplice(f *testing.F) {
 	f.Add([]byte("1\x00\x00\x00\x04Z\x00\x00\x00\x05I"), []byte{2, 0x82, 0})
 	f.Add([]byte("E\x00\x00\x00\x05\x00Z\x00\x00\x00\x05I"), []byte{0, 2, 3})
@@ -52,10 +52,10 @@
 			t.Fatalf("%d of %d steps answered", answered, len(u.steps))
 		}
 		if err == nil && pgwire.Split(out, func(pgwire.Frame) error { return nil }) != nil {
-			t.Fatal("the answer is not made of frames")
+			t.Fatal("the answer does not consist of complete frames")
 		}
 		if len(out) > len(messages)+own*5 {
-			t.Fatal("an own answer came twice")
+			t.Fatal("an answer of the entry appears twice")
 		}
 	})
 }
--- a/internal/entry/history.go
+++ b/internal/entry/history.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	// rowWait bounds the wait for a group's row that a target was quicker to
-	// learn of, and rowPoll is how often it is looked for.
+	// rowWait bounds the wait for a group's row that a target received before
+	// this VM did, and rowPoll is the interval at which the wait checks for it.
 	rowWait = time.Second
 	rowPoll = 5 * time.Millisecond
 )
 
-// accept passes a read's answer unless its target is in a later term than the row
-// by which the floor was worked out. The promotion may have lost a write of the
-// session, and only the newer row tells: the caller would see its write missing
-// without a word. So the newer row is awaited and the floor asked for again.
+// accept checks a read's answer for a target whose term is later than that of the
+// row from which the floor was computed. The promotion may have lost a write of the
+// session, which only the newer row shows: the caller would miss its own write
+// without an error. So accept waits for the newer row and computes the floor again,
+// which fails if a write was lost.
 func (s *caller) accept(ctx context.Context, req *request, row *topology.Group, resp *peerpb.ExecuteResponse) (*peerpb.ExecuteResponse, *result.Error) {
 	term := peers.Position(resp.Position).Term
 	if row != nil && term <= row.Term {
@@ -37,7 +38,8 @@
 	return resp, nil
 }
 
-// awaitTerm waits until the group's row is of the term or a later one.
+// awaitTerm waits until the group's row has the term or a later one, and returns
+// the row. It returns nil after rowWait.
 func (s *caller) awaitTerm(ctx context.Context, group topology.GroupID, term uint64) *topology.Group {
 	ctx, cancel := context.WithTimeout(ctx, rowWait)
 	defer cancel()
--- a/internal/entry/history_test.go
+++ b/internal/entry/history_test.go
@@ -34,8 +34,9 @@
 }
 
 var _ = Describe("An answer of a later term", func() {
-	// The caller is told that its write is lost, instead of getting rows without
-	// it. The target was promoted and answers before the entry has the new row.
+	// Guards against a read that misses a lost write of its session without an error.
+	// The target was promoted and answers before the entry has received the group's
+	// new row.
 	It("waits for the row that tells what was lost", func() {
 		v := view.New(topology.VM{ID: "vm-1", DataCentre: "a", Incarnation: 1}, mono.System{})
 		before := &topology.Group{ID: "s/g", Version: 1, Term: 1, Primary: "t1"}
--- a/internal/entry/hops.go
+++ b/internal/entry/hops.go
@@ -7,20 +7,21 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// primaryHop is a request to a primary that has not been answered yet.
+// primaryHop is an unanswered request to a primary.
 type primaryHop struct {
 	term   uint64
 	cancel context.CancelFunc
 }
 
-// hops holds the requests under way to primaries, by group. Safe for concurrent use.
+// hops holds the unanswered requests to primaries by group. It is safe for
+// concurrent use.
 type hops struct {
 	mu   sync.Mutex
 	open map[topology.GroupID]map[*primaryHop]struct{}
 }
 
-// add registers a request of a term; the caller removes it by the returned
-// function.
+// add registers a request to the primary of the term and returns the function that
+// removes it. Term 0 marks a replica, whose requests are not registered.
 func (h *hops) add(group topology.GroupID, term uint64, cancel context.CancelFunc) (remove func()) {
 	if term == 0 {
 		return func() {}
@@ -42,9 +43,10 @@
 	}
 }
 
-// cut ends the requests to a primary that the group has replaced. Its pooler may
-// be cut off and never answer, and it may not acknowledge any more, so waiting
-// longer would only keep the caller from its answer.
+// cut cancels the group's requests of terms before term, whose primary has been
+// replaced. The pooler of a replaced primary may be unreachable and must not
+// acknowledge writes any more, so waiting longer would only delay the caller's
+// answer.
 func (h *hops) cut(group topology.GroupID, term uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -55,7 +57,8 @@
 	}
 }
 
-// GroupsChanged tells the server of newer rows.
+// GroupsChanged informs the server of newer group rows. It cancels the requests to
+// primaries that these rows replace.
 func (s *Server) GroupsChanged(groups []*topology.Group) {
 	for _, g := range groups {
 		s.hops.cut(g.ID, g.Term)
--- a/internal/entry/interrupt.go
+++ b/internal/entry/interrupt.go
@@ -9,20 +9,21 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// probeEvery is how often one write tries the primary of an interrupted group.
+// probeEvery is the interval at which a single write tries the primary of an
+// interrupted group.
 const probeEvery = 20 * time.Millisecond
 
-// interruption is a group whose primary takes no writes at present. One write at
-// a time tries it; the others wait for a success or for a newer row. Were each to
-// try by itself, thousands of sessions would send as many messages each few
-// milliseconds all through a failover.
+// interruption is the state of a group whose primary accepts no writes at present.
+// One write at a time tries the primary; the others wait until it succeeds or a
+// newer row arrives. If every write tried on its own, thousands of sessions would
+// send as many messages every few milliseconds throughout a failover.
 type interruption struct {
-	version   uint64 // of the row under which it began
+	version   uint64 // of the group's row when the interruption began
 	nextProbe mono.Time
 	over      chan struct{}
 }
 
-// interrupts reports whether the failure says that the primary takes no writes.
+// interrupts reports whether the failure means that the primary accepts no writes.
 func interrupts(failure *result.Error) bool {
 	switch failure.Code {
 	case result.NoPrimary, result.NoRight, result.TermRefused, result.PoolerUnreachable, result.WrongPooler,
@@ -32,7 +33,7 @@
 	return false
 }
 
-// awaitPrimary returns when a write may try the group's primary.
+// awaitPrimary waits until a write may try the group's primary.
 func (r *router) awaitPrimary(ctx context.Context, id topology.GroupID) *result.Error {
 	for {
 		over, wait := r.interrupted(id)
@@ -51,7 +52,10 @@
 	}
 }
 
-// interrupted returns nil when the caller may try; the turn is then its own.
+// interrupted returns a nil channel when the write may try the primary; during an
+// interruption the write has then taken the probe that was due. Otherwise it returns
+// the channel that is closed at the interruption's end, and the time to the next
+// probe.
 func (r *router) interrupted(id topology.GroupID) (<-chan struct{}, time.Duration) {
 	version := uint64(0)
 	if row := r.view.Group(id); row != nil {
@@ -75,7 +79,7 @@
 	return i.over, i.nextProbe.Sub(now)
 }
 
-// endInterruption wakes all that wait; the caller holds the lock.
+// endInterruption releases all waiting writes. The caller holds r.mu.
 func (r *router) endInterruption(id topology.GroupID) {
 	if i := r.interruptions[id]; i != nil {
 		close(i.over)
@@ -83,7 +87,8 @@
 	}
 }
 
-// noteWrite learns from a write's attempt whether the primary takes writes.
+// noteWrite starts or ends the group's interruption according to the result of a
+// write's attempt.
 func (r *router) noteWrite(id topology.GroupID, failure *result.Error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -10,25 +10,28 @@
 )
 
 const (
-	// hopsPerVM bounds the requests under way to one pooler. Each holds a
-	// connection and two goroutines at both ends; a pooler that hangs would
-	// otherwise collect every request of every session.
+	// hopsPerVM bounds the concurrent requests to one pooler. Each holds a
+	// connection and two goroutines at both ends; without a bound, a pooler that
+	// hangs would accumulate the requests of all sessions.
 	hopsPerVM = 4096
-	// limitRetry is when a request refused by these limits may come again.
+	// limitRetry is the delay after which a request that was refused by one of
+	// these limits may be retried.
 	limitRetry = 100 * time.Millisecond
 	// answerTimeout bounds the writing of an answer. A caller that does not read
-	// holds nothing at a target, but its answer is kept here.
+	// its answer occupies no resources at a target, but the answer stays in this
+	// daemon's memory.
 	answerTimeout = 30 * time.Second
 )
 
-// counter counts what is under way by some name. The zero value is ready. Safe
+// counter counts items in use by key. The zero value is ready for use. It is safe
 // for concurrent use.
 type counter[K comparable] struct {
 	mu     sync.Mutex
 	counts map[K]int
 }
 
-// take counts one more unless there are limit of them already.
+// take increments the key's count and returns true, unless the count has reached
+// the limit.
 func (c *counter[K]) take(key K, limit int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -50,15 +53,15 @@
 	}
 }
 
-// loads is what the daemon has taken on. Its limits keep one member's crowd from
-// taking all of a daemon that every member shares.
+// loads counts the sessions, requests and hops in use and enforces their limits, so
+// that one member cannot use up a daemon that all members share.
 type loads struct {
 	sessions counter[string] // by member
 	requests counter[string] // by member
 	hops     counter[topology.VMID]
 }
 
-// takeSession refuses a member's session beyond its limit.
+// takeSession counts a session of the member, or refuses it at the member's limit.
 func (l *loads) takeSession(conf *config.View, member string) *result.Error {
 	m, _ := conf.Member(member)
 	if !l.sessions.take(member, m.MaxSessions) {
@@ -67,9 +70,9 @@
 	return nil
 }
 
-// takeRequest refuses a member's request beyond its limit, at once. Requests of
-// open transactions pass: their number is bounded by the targets' connections,
-// and refusing one would cut its transaction.
+// takeRequest counts a request of the session's member, or refuses it without a wait
+// at the member's limit. Requests within open transactions are exempt: the targets'
+// connections bound their number, and refusing one would abort its transaction.
 func (s *caller) takeRequest() (give func(), failure *result.Error) {
 	if s.tx != nil {
 		return func() {}, nil
@@ -82,7 +85,7 @@
 	return func() { s.server.loads.requests.give(member) }, nil
 }
 
-// takeHop refuses a hop to a VM that has too many under way.
+// takeHop counts a hop to the VM, or refuses it at hopsPerVM.
 func (l *loads) takeHop(vm topology.VMID) *result.Error {
 	if !l.hops.take(vm, hopsPerVM) {
 		return result.New(result.TooManyInFlight, "%s has %d", vm, hopsPerVM).After(limitRetry)
--- a/internal/entry/local.go
+++ b/internal/entry/local.go
@@ -10,7 +10,7 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// localKind is what a statement asks of the entry itself.
+// localKind is the kind of a statement that the entry answers itself.
 type localKind int
 
 const (
@@ -23,15 +23,15 @@
 // local is a statement that the entry answers itself.
 type local struct {
 	kind  localKind
-	name  string // of the option, without its prefix
-	value string // of a SET; the request id of an outcome
+	name  string // of the option without its prefix, or of the function
+	value string // new value of a SET, or the request id of an outcome query
 }
 
-// value is a quoted or a bare one.
+// valuePattern matches a quoted or a bare value.
 const valuePattern = `('(?:[^']|'')*'|[^\s;']+)`
 
-// The statements of ours, matched literally at the start of the text: all other
-// SQL passes through unread.
+// localPatterns match the statements that the entry answers itself, at the start of
+// the text. All other SQL is forwarded without being parsed.
 var localPatterns = []struct {
 	kind    localKind
 	pattern *regexp.Regexp
@@ -46,8 +46,8 @@
 	return regexp.MustCompile(`(?is)^\s*` + statement + `\s*(?:;\s*|$)`)
 }
 
-// parseLocal reads a statement of ours from the start of sql; rest is what
-// follows it.
+// parseLocal parses a statement that the entry answers itself from the start of sql.
+// rest is the text after it.
 func parseLocal(sql string) (l local, rest string, ok bool) {
 	if !mentionsOptions(sql) {
 		return local{}, sql, false
@@ -73,7 +73,8 @@
 	return value
 }
 
-// mentionsOptions is a quick look that most statements fail.
+// mentionsOptions reports whether sql contains the option prefix in any case. It is
+// a cheap check that spares most statements the regular expressions.
 func mentionsOptions(sql string) bool {
 	const word = len(optionPrefix)
 	for i := 0; i+word <= len(sql); i++ {
@@ -84,15 +85,16 @@
 	return false
 }
 
-// lowerCase is the bit by which ASCII letters differ from their capitals.
+// lowerCase is the bit that is set in lower-case ASCII letters only.
 const lowerCase = 0x20
 
-// guarded matches what would change the settings by which a pooler binds its
-// connection to a term and to the replicas that a commit waits for.
+// guarded matches statements that would change the settings by which a pooler binds
+// its connection to a term and to the replicas that a commit waits for.
 var guarded = regexp.MustCompile(`(?is)\b(?:set|reset|set_config)\b[^;]*buckthornshore\.`)
 
-// checkPassedOn refuses statements that the entry would have to answer itself
-// but can't, because they do not come first: a target would take them for its own.
+// checkPassedOn refuses SQL that would reach a target with a statement that only the
+// entry may answer, because that statement does not come first or is written in
+// another form. The target would execute it as its own.
 func checkPassedOn(sql string) *result.Error {
 	if mentionsOptions(sql) && guarded.MatchString(sql) {
 		return result.New(result.BadOption, "SET, RESET, SHOW and outcome of %s* are written plainly and come first", optionPrefix)
@@ -100,7 +102,7 @@
 	return nil
 }
 
-// hasRow tells statements that return one row with one column.
+// hasRow reports whether the statement returns one row with one column.
 func (l *local) hasRow() bool { return l.kind == localShow || l.kind == localOutcome }
 
 func (l *local) tag() string {
@@ -130,7 +132,7 @@
 	}}
 }
 
-// runLocal carries the statement out and returns its DataRow, if any, and its
+// runLocal executes the statement and returns its encoded DataRow, if any, and
 // CommandComplete.
 func (s *caller) runLocal(l *local) ([]byte, *result.Error) {
 	value, failure := s.evaluate(l)
@@ -162,7 +164,8 @@
 	return "", result.New(result.Internal, "local statement %d", l.kind)
 }
 
-// encode appends a message; those of the entry itself always encode.
+// encode appends an encoded message to out. The entry's own messages never fail to
+// encode, so an error leaves out unchanged.
 func encode(out []byte, m pgproto3.BackendMessage) []byte {
 	grown, err := m.Encode(out)
 	if err != nil {
--- a/internal/entry/measure.go
+++ b/internal/entry/measure.go
@@ -7,8 +7,9 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// measure records an answered request. Only names that the configuration holds
-// become tags; req is nil when the request named none.
+// measure records the metrics of an answered request. Only class names from the
+// configuration become tags; req is nil when the unit was refused before a
+// request was made of it.
 func (s *caller) measure(req *request, begun time.Time, failure *result.Error) {
 	class := ""
 	if req != nil {
--- a/internal/entry/options.go
+++ b/internal/entry/options.go
@@ -4,11 +4,11 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// optionPrefix begins the names of the session options, in start-up parameters
-// and in SET statements.
+// optionPrefix is the prefix of the session options' names in start-up parameters
+// and SET statements.
 const optionPrefix = "buckthornshore."
 
-// options are what a caller declares of its session and of the next requests.
+// options are the values that a caller sets for its session and its next requests.
 type options struct {
 	member    string
 	service   string
@@ -20,7 +20,7 @@
 	requestID string
 }
 
-// set changes one option by its name without the prefix.
+// set changes the option of the name, which is given without the prefix.
 func (o *options) set(name, value string) *result.Error {
 	field := o.field(name)
 	if field == nil {
@@ -33,7 +33,8 @@
 	return nil
 }
 
-// maxOptionValue in bytes; a token of 64 groups fits.
+// maxOptionValue is the greatest length of an option's value in bytes. A token of 64
+// groups fits.
 const maxOptionValue = 8192
 
 func (o *options) field(name string) *string {
--- a/internal/entry/outcome.go
+++ b/internal/entry/outcome.go
@@ -18,18 +18,19 @@
 	outcomeNotRun = "not run"
 )
 
-// claimedBy marks the ledger row of a request that was asked for before it ran.
-// No class has this name.
+// claimedBy is the value of a ledger row that an outcome query inserted before the
+// request ran. No class has this name.
 const claimedBy = "!not run"
 
-// askedTable gets a row with each question. The question is a write of its own,
-// so its acknowledgement waits as the class wants it: the replicas that hold it
-// hold all before it too, and neither answer can be undone by a failover.
+// askedTable gets a row with each outcome query. This makes every query a write,
+// whose acknowledgement waits for replicas as the class demands. Replicas that hold
+// this write hold all earlier writes too, so a failover cannot revert either answer.
 const askedTable = "buckthornshore_asked"
 
-// outcome tells for good whether the request has run. It claims the id in the
-// ledger: the request, were it still under way somewhere, would find its row
-// taken and fail as a whole, so "not run" stays true.
+// outcome returns whether the request has run. The answer is final: the query
+// inserts the id into the ledger if it is missing there, so a request that is still
+// in progress elsewhere conflicts with that row and fails as a whole, and "not run"
+// stays true.
 func (s *caller) outcome(id string) (string, *result.Error) {
 	if s.tx != nil {
 		return "", result.New(result.BadOption, "outcome is not asked for within a transaction")
--- a/internal/entry/prepared.go
+++ b/internal/entry/prepared.go
@@ -6,21 +6,21 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// Bounds of the prepared statements that one session keeps: the entry holds
-// their texts for as long as the session lasts.
+// Limits of the prepared statements of one session. The entry keeps their texts in
+// memory until the session ends.
 const (
 	maxPrepared      = 1024
 	maxPreparedBytes = 4 << 20
 )
 
-// preparedStatement is one as the caller prepared it.
+// preparedStatement is a statement as the caller prepared it.
 type preparedStatement struct {
 	pgproto3.Parse        // without a name
-	local          *local // not nil: the entry answers it itself
+	local          *local // not nil if the entry answers the statement itself
 }
 
 // preparedTable holds a session's prepared statements by name. The zero value is
-// ready.
+// ready for use.
 type preparedTable struct {
 	statements map[string]*preparedStatement
 	bytes      int
--- a/internal/entry/route.go
+++ b/internal/entry/route.go
@@ -19,15 +19,17 @@
 )
 
 const (
-	// floorWait is how long a replica that is behind may be waited for.
+	// floorWait bounds the wait for a replica that is behind the floor.
 	floorWait = 20 * time.Millisecond
-	// patience is how many times its usual latency a read waits for a target
-	// before it tries another, and leastPatience the least of it.
+	// patience is the time-out of a read's attempt, without queueing, as a multiple
+	// of the target's average latency, and leastPatience is the lower bound of that time-out.
+	// After it the read tries another target.
 	patience      = 8
 	leastPatience = 250 * time.Millisecond
 )
 
-// route runs the request where it may run and returns the whole answer.
+// route sends the request to a target that may execute it, retries as its class
+// permits, and returns the complete answer.
 func (s *caller) route(req *request) (*peerpb.ExecuteResponse, *result.Error) {
 	ctx, cancel := context.WithTimeout(context.Background(), req.class.Deadline.Std())
 	defer cancel()
@@ -66,13 +68,14 @@
 	}
 }
 
-// longestPause bounds the wait for a group's row to change: the row may come at
-// any moment, and then the next attempt finds the new primary.
+// longestPause bounds the pause between attempts. A newer row of the group may
+// arrive at any moment, and the next attempt then uses the new primary.
 const longestPause = 50 * time.Millisecond
 
 const (
-	// quickTries of a read go to other targets almost at once: what failed at
-	// one of them says nothing of the next. A few, as a group has few targets.
+	// quickTries is the number of retries of a read that follow after only
+	// quickPause, since a failure at one target does not predict a failure at the
+	// next. It is small because a group has few targets.
 	quickTries = 3
 	quickPause = 2 * time.Millisecond
 )
@@ -84,9 +87,10 @@
 	return longestPause
 }
 
-// waitForNext pauses before the next attempt; false when the time is up. A write
-// whose primary takes none does not: it waits for its turn in awaitPrimary. A
-// read has no such turn and would spend its attempts within milliseconds.
+// waitForNext pauses before the next attempt. It returns false when ctx is done. A
+// write whose primary accepts no writes skips the pause, as awaitPrimary paces it.
+// Nothing else paces reads: without the pause, a read would use up its attempts
+// within milliseconds.
 func waitForNext(ctx context.Context, req *request, failure *result.Error, d time.Duration) bool {
 	if req.class.Kind == config.Write && interrupts(failure) {
 		return true
@@ -94,9 +98,10 @@
 	return wait.For(ctx, d)
 }
 
-// attemptsThatCount leaves out a write's attempts that found nobody to run them:
-// awaitPrimary paces these, one each 20 ms, and the policy's 200 would be spent
-// after 4 s of a failover though the write's deadline is minutes away.
+// attemptsThatCount returns the number of attempts for the retry policy. It leaves
+// out a write's attempts that found no primary to execute them: awaitPrimary paces
+// these at one per 20 ms, so that the policy's limit of 200 would be reached after
+// 4 s of a failover although the write's deadline may be minutes away.
 func attemptsThatCount(req *request, failure *result.Error, attempt, reached int) int {
 	if req.class.Kind == config.Write && interrupts(failure) {
 		return reached + 1
@@ -104,14 +109,14 @@
 	return attempt
 }
 
-// reachedTarget tells attempts that count against the class's limit from those
-// that found nobody to run them.
+// reachedTarget reports whether the attempt counts against the class's limit.
+// Attempts that found no target to execute them do not.
 func reachedTarget(failure *result.Error) bool {
 	return !interrupts(failure) && failure.Code != result.AgeNotShown && failure.Code != result.ReplicaBehind
 }
 
-// final is the answer when no further attempt is made. A write of unknown outcome
-// that may not run twice has no time to come back.
+// final returns the error for the caller when no further attempt is made. A write of
+// unknown outcome that must not run twice carries no retry time.
 func final(failure *result.Error, req *request) *result.Error {
 	if failure.Ran == result.Unknown && req.class.Kind == config.Write && !req.class.Repeatable {
 		return result.New(result.OutcomeUnknown, "%s: %s", failure.Code.Name(), failure.Detail)
@@ -122,8 +127,9 @@
 	return failure
 }
 
-// retryClass: a class that may be repeated has its caller's word that a second
-// run does no harm; others have the ledger, and are never sent twice.
+// retryClass returns the class as the retry policy sees it. The callers of a
+// repeatable class guarantee that a second execution does no harm. Requests of other
+// write classes are recorded in the ledger and never sent twice.
 func retryClass(c config.Class) retry.Class {
 	return retry.Class{
 		Name:       c.Name,
@@ -133,13 +139,14 @@
 	}
 }
 
-// deadline turns the context's deadline into an instant.
+// deadline converts the context's deadline to monotonic time.
 func (s *Server) deadline(ctx context.Context) mono.Time {
 	at, _ := ctx.Deadline() // route always sets one.
 	return s.o.Clock.Now().Add(time.Until(at))
 }
 
-// tryInTurn makes one attempt; a write waits while its group's primary takes none.
+// tryInTurn makes one attempt. A write first waits while its group's primary accepts
+// no writes.
 func (s *caller) tryInTurn(ctx context.Context, req *request) (*peerpb.ExecuteResponse, *result.Error) {
 	if req.class.Kind != config.Write {
 		return s.try(ctx, req)
@@ -152,7 +159,7 @@
 	return resp, failure
 }
 
-// try makes one attempt.
+// try makes one attempt at a target that meets the request's requirements.
 func (s *caller) try(ctx context.Context, req *request) (*peerpb.ExecuteResponse, *result.Error) {
 	row := s.server.o.View.Group(req.group)
 	if row == nil {
@@ -192,7 +199,7 @@
 	return accepted, failure
 }
 
-// continueTransaction runs the request where its transaction is open.
+// continueTransaction sends the request to the target of its open transaction.
 func (s *caller) continueTransaction(ctx context.Context, req *request) (*peerpb.ExecuteResponse, *result.Error) {
 	row := s.server.o.View.Group(req.group)
 	d := destination{target: s.tx.target, pooler: s.tx.pooler, term: s.tx.term}
@@ -209,11 +216,12 @@
 	return s.accept(ctx, req, row, resp)
 }
 
-// need tells what a target must hold to answer the request.
+// need returns what a target must fulfil to answer the request.
 func (s *caller) need(ctx context.Context, req *request, row *topology.Group) (routing.Request, *result.Error) {
 	floor, err := s.session.ReadFloor(row)
 	if err != nil {
-		// A write, too: its transaction may read, and would miss the lost one.
+		// This applies to writes too: their transactions may read, and would
+		// miss the lost write.
 		return routing.Request{}, result.From(err)
 	}
 	if req.class.Kind == config.Write {
@@ -230,13 +238,14 @@
 	if staleness > 0 {
 		return routing.Request{Staleness: staleness, Floor: position.Max(floor.Position, got.session)}, nil
 	}
-	// Everything acknowledged before the fetch began is below the newest
-	// position, so a target that holds it shows what a fresh read must show.
+	// The newest position covers all writes that were acknowledged before the
+	// fetch began. So a target that has applied it returns an up-to-date result.
 	return routing.Request{Staleness: routing.AnyAge, Floor: position.Max(floor.Position, got.newest)}, nil
 }
 
-// chooseWithSample asks the primary for its position when no sample is young
-// enough to show an age: the group had no traffic lately.
+// chooseWithSample fetches the primary's position and then chooses a target. It is
+// used when no sample is recent enough to prove a replica's staleness, as the group
+// had no traffic lately.
 func (s *caller) chooseWithSample(ctx context.Context, row *topology.Group, need routing.Request) (destination, *result.Error) {
 	if _, failure := s.server.router.fetchFloor(ctx, row.ID, ""); failure != nil {
 		return destination{}, failure
@@ -245,8 +254,9 @@
 	return d, failure
 }
 
-// patienceFor bounds a read's attempt: a target that hangs would else use up the
-// whole deadline, and the caller get no answer that another target could give.
+// patienceFor returns the time-out of a read's attempt. Without it a target that
+// hangs would use up the request's whole deadline, although another target could
+// answer.
 func (r *router) patienceFor(row *topology.Group, id topology.TargetID) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -255,7 +265,8 @@
 	return max(leastPatience, patience*e.latency+2*queueing)
 }
 
-// attempt sends the request to one pooler.
+// attempt sends the request to one pooler and records the result in the router's
+// estimates.
 func (s *caller) attempt(ctx context.Context, req *request, d destination, inTransaction bool) (*peerpb.ExecuteResponse, *result.Error) {
 	row := s.server.o.View.Group(req.group)
 	begun := s.server.router.sent(row, d.target)
@@ -275,7 +286,7 @@
 	return resp, nil
 }
 
-// hop carries the request to the pooler's VM and its answer back.
+// hop sends the request to the pooler's VM and returns its answer.
 func (s *caller) hop(ctx context.Context, req *request, d destination, inTransaction bool) (*peerpb.ExecuteResponse, *result.Error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -300,8 +311,8 @@
 	if err != nil {
 		return nil, peers.HopResult(d.pooler, err)
 	}
-	// A late answer of an earlier request on a confused connection would give
-	// this caller another's rows.
+	// A late answer to an earlier request on a connection that is out of step
+	// would give this caller the rows of another.
 	if resp.HopId != msg.HopId {
 		return nil, result.New(result.InvariantBroken, "answer %d to request %d", resp.HopId, msg.HopId)
 	}
@@ -312,7 +323,7 @@
 	self := s.server.o.View.Self()
 	deadline, _ := ctx.Deadline()
 	hopID := s.server.hopID.Add(1)
-	number := hopID // of the transaction that the request may open
+	number := hopID // id of the transaction, in case the request opens one
 	if s.tx != nil {
 		number = s.tx.number
 	}
--- a/internal/entry/router.go
+++ b/internal/entry/router.go
@@ -18,28 +18,29 @@
 )
 
 const (
-	// keptAge is the greatest staleness that can be shown; ageResolution is how
-	// much worse than exact a shown age may be. Together they bound the samples
-	// of a group at about 250, 8 KB.
+	// keptAge is the greatest staleness that can be proved, and ageResolution the
+	// greatest error of a proved staleness. Together they bound the samples of a
+	// group to about 250, or 8 KB.
 	keptAge       = 2 * time.Minute
 	ageResolution = 2 * time.Second
-	// suspectFor is how long reads avoid a target after a failure.
+	// suspectFor is the time for which reads avoid a target after a failure.
 	suspectFor = time.Second
-	// weight of a new measurement in the averages, as one part of so many.
+	// averageParts is the divisor of the moving averages: a new measurement has
+	// the weight 1/averageParts.
 	averageParts = 8
-	// firstLatency is assumed of a target that has not answered yet.
+	// firstLatency is the latency assumed for a target that has not answered yet.
 	firstLatency = 2 * time.Millisecond
 )
 
-// destination is where an attempt goes.
+// destination is the target of an attempt and the pooler that serves it.
 type destination struct {
 	target topology.TargetID
 	pooler topology.VM
-	term   uint64 // 0: a replica, which needs no right
+	term   uint64 // 0 for a replica, which needs no right
 	floor  position.Position
 }
 
-// estimate is what this entry has measured of a target.
+// estimate holds this entry's measurements of a target.
 type estimate struct {
 	latency  time.Duration // without queueing
 	service  time.Duration
@@ -47,18 +48,19 @@
 	inFlight int
 	failedAt mono.Time
 	failed   bool
-	// avoid: reads leave it out while the failure is young. The target refuses
-	// connections, or has failed twice in a row.
+	// avoid is set when the target refuses connections or has failed twice within
+	// 2*suspectFor. Reads then exclude a replica for suspectFor after the failure.
 	avoid bool
 }
 
-// groupTable is one group as this entry knows it.
+// groupTable holds this entry's data about one group.
 type groupTable struct {
 	fresh   *routing.Freshness
 	targets map[topology.TargetID]*estimate
 }
 
-// router chooses targets and learns from their answers. Safe for concurrent use.
+// router chooses targets and updates its estimates from their answers. It is safe for
+// concurrent use.
 type router struct {
 	view  *view.View
 	peers *peers.Table
@@ -73,7 +75,7 @@
 	interruptions map[topology.GroupID]*interruption
 }
 
-// Budget of retries a second of each member and class, and at once.
+// Retry budget of each member and class: a sustained rate and a burst.
 const (
 	retriesPerSecond = 50
 	retryBurst       = 100
@@ -94,7 +96,8 @@
 	}
 }
 
-// group returns the table of a group with the newest row; the caller holds the lock.
+// group returns the table of the row's group, updated with the row. The caller
+// holds r.mu.
 func (r *router) group(row *topology.Group) *groupTable {
 	g := r.groups[row.ID]
 	if g == nil {
@@ -114,7 +117,7 @@
 	return e
 }
 
-// choose picks the target of a request whose floor is known.
+// choose picks the target of a request whose floor has been computed.
 func (r *router) choose(row *topology.Group, req routing.Request) (destination, *result.Error) {
 	why, failure := r.explain(row, req)
 	if failure != nil {
@@ -154,18 +157,18 @@
 	case t.Leaving && !c.Primary:
 		c.State = routing.Leaving
 	case t.Leaving, e.failed && now.Sub(e.failedAt) < suspectFor:
-		// A leaving primary still takes writes until its successor is promoted.
+		// A leaving primary accepts writes until its successor is promoted.
 		c.State = routing.Suspect
 		if e.avoid && !c.Primary {
-			// A suspect replica still comes before a healthy primary, so a read
-			// would meet a dead one until its attempts are spent.
+			// A suspect replica is preferred to a healthy primary, so a read would
+			// try a replica that is down until its attempts are used up.
 			c.State = routing.Dead
 		}
 	}
 	return c
 }
 
-// sent notes a request under way.
+// sent counts a request to the target as in flight and returns the time of sending.
 func (r *router) sent(row *topology.Group, target topology.TargetID) mono.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -173,7 +176,7 @@
 	return r.clock.Now()
 }
 
-// reply is what an answer tells besides its rows.
+// reply is the part of an answer that the router's estimates are updated from.
 type reply struct {
 	position position.Position
 	queue    int
@@ -181,7 +184,8 @@
 	ran      time.Duration
 }
 
-// answered learns from an answer to a request sent at begun.
+// answered updates the target's estimate from the answer to a request that was sent
+// at begun.
 func (r *router) answered(row *topology.Group, d destination, begun mono.Time, a reply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -203,7 +207,7 @@
 	return old + (measured-old)/averageParts
 }
 
-// failed learns from an attempt without an answer.
+// failed updates the target's estimate from an attempt that failed.
 func (r *router) failed(row *topology.Group, target topology.TargetID, failure *result.Error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -226,7 +230,7 @@
 	}
 }
 
-// sample notes the primary's newest position from a fetch begun at begun.
+// sample records the primary's newest position from a fetch that started at begun.
 func (r *router) sample(row *topology.Group, begun mono.Time, at position.Position) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -235,17 +239,17 @@
 	g.fresh.Learn(row.Primary, at, r.clock.Now())
 }
 
-// next decides what follows a failed attempt.
+// next decides whether and when a failed attempt is retried.
 func (r *router) next(p retry.Policy, o retry.Outcome, class retry.Class, deadline mono.Time) retry.Decision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return p.Next(o, class, r.budgets, r.clock.Now(), deadline, r.random)
 }
 
-// positionTimeout of a fetch from the primary.
+// positionTimeout bounds a position fetch from the primary.
 const positionTimeout = 500 * time.Millisecond
 
-// call bounds a message to a pooler.
+// call returns a context with the time-out of a position fetch.
 func (r *router) call(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, positionTimeout)
 }
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -15,18 +15,19 @@
 	"github.com/buckthornshore/buckthornshore/rpc/peerpb"
 )
 
-// request is one unit with what the session declared for it.
+// request is one unit with the group and class that the session's options select.
 type request struct {
 	session  *caller
 	group    topology.GroupID
 	class    config.Class
 	messages []byte
 	syncs    uint32
-	// repeats: the messages may run twice, whatever the class says.
+	// repeats is set when the messages may run twice even if the class is not
+	// repeatable.
 	repeats bool
 }
 
-// serve answers the collected unit.
+// serve executes the collected unit and answers it.
 func (s *caller) serve() error {
 	defer s.unit.reset()
 	if s.unit.failure != nil {
@@ -61,7 +62,8 @@
 	return s.route(req)
 }
 
-// write sends an answer; a caller that reads none of it for long is cut off.
+// write sends an answer to the caller. It fails, which ends the session, when the
+// caller does not read the answer within answerTimeout.
 func (s *caller) write(answer []byte) error {
 	_ = s.net.SetWriteDeadline(time.Now().Add(answerTimeout))
 	if err := s.backend.Flush(); err != nil {
@@ -71,7 +73,8 @@
 	return err
 }
 
-// runLocals carries out the unit's statements of ours; they come first in it.
+// runLocals executes the unit's statements that the entry answers itself. They
+// precede all others in the unit.
 func (s *caller) runLocals() *result.Error {
 	for i := range s.unit.steps {
 		st := &s.unit.steps[i]
@@ -87,7 +90,7 @@
 	return nil
 }
 
-// answerLocally answers a unit that holds nothing for a target.
+// answerLocally answers a unit that has no messages for a target.
 func (s *caller) answerLocally() error {
 	out, _, err := s.unit.splice(nil)
 	if err != nil {
@@ -96,8 +99,8 @@
 	return s.write(encode(out, &pgproto3.ReadyForQuery{TxStatus: s.status()}))
 }
 
-// refuseUnit answers a unit that is wrong in itself. With a transaction open the
-// connection ends, as it does after every failure there.
+// refuseUnit answers an invalid unit with its error. Within a transaction it also
+// ends the connection, as every failure there does.
 func (s *caller) refuseUnit(e *pgproto3.ErrorResponse) error {
 	s.forgetParses(s.unit.steps)
 	if s.tx != nil {
@@ -112,8 +115,8 @@
 	return s.backend.Flush()
 }
 
-// errUnitRefused ends a session whose transaction was spoilt by its own messages.
-var errUnitRefused = errors.New("entry: bad unit in a transaction")
+// errUnitRefused ends a session that sent an invalid unit within a transaction.
+var errUnitRefused = errors.New("entry: invalid unit in a transaction")
 
 func (s *caller) status() byte {
 	if s.tx != nil {
@@ -122,9 +125,9 @@
 	return pgwire.Idle
 }
 
-// fail reports a result. With a transaction open the connection ends: the
-// transaction is gone, and a caller that sends its next statements unread must
-// not have them run one by one outside it.
+// fail reports an error to the caller. Within a transaction it also ends the
+// connection: the transaction is lost, and statements that the caller has sent
+// without reading this error must not run outside it.
 func (s *caller) fail(e *result.Error) error {
 	s.forgetParses(s.unit.steps)
 	if s.tx == nil {
@@ -150,7 +153,7 @@
 	req := &request{session: s, group: group, class: class, messages: s.unit.messages, syncs: 1}
 	if !s.unit.runs {
 		// Preparing a statement must not use up the request's id: the execution
-		// that follows would be refused as run.
+		// that follows would be refused as already run.
 		req.repeats = true
 		req.class.Repeatable = true
 	}
@@ -175,7 +178,8 @@
 	return id, nil
 }
 
-// answer passes the target's answer on and notes what it says of the session.
+// answer forwards the target's answer to the caller and updates the session's floors
+// and token from it.
 func (s *caller) answer(req *request, resp *peerpb.ExecuteResponse) error {
 	messages, err := s.spliceAnswer(resp.Messages)
 	if err != nil {
@@ -188,8 +192,8 @@
 	return s.write(messages)
 }
 
-// spliceAnswer merges the target's answer with the entry's own. A statement whose
-// preparation failed is forgotten.
+// spliceAnswer merges the target's answer with the entry's own. It removes prepared
+// statements whose preparation failed.
 func (s *caller) spliceAnswer(messages []byte) ([]byte, error) {
 	if !s.unit.spliced {
 		return messages, nil
@@ -199,7 +203,8 @@
 	return out, err
 }
 
-// forgetParses drops the statements whose preparation was not answered.
+// forgetParses removes the prepared statements of the steps, whose preparation was
+// not confirmed.
 func (s *caller) forgetParses(steps []step) {
 	for _, st := range steps {
 		if st.kind == stepParse && !st.injected {
@@ -208,10 +213,11 @@
 	}
 }
 
-// tokenParameter reports the session's token, to be presented when it roams.
+// tokenParameter is the parameter status that reports the session's token, which the
+// caller presents when it continues the session at another entry.
 const tokenParameter = optionPrefix + "token"
 
-// sendToken gives a session that asked for tokens its present one.
+// sendToken sends the current token to a session that uses tokens.
 func (s *caller) sendToken() {
 	if s.session.Mode != session.WithToken {
 		return
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -1,5 +1,5 @@
-// Package entry serves the callers: it speaks the PostgreSQL protocol with them
-// and sends each request to the pooler of a target that may answer it.
+// Package entry serves the connections of callers over the PostgreSQL protocol and
+// routes each request to the pooler of a target that may answer it.
 package entry
 
 import (
@@ -18,12 +18,12 @@
 	"github.com/buckthornshore/buckthornshore/pkg/session"
 )
 
-// Options of a Server.
+// Options are the dependencies and settings of a Server.
 type Options struct {
 	View  *view.View
 	Peers *peers.Table
 	Clock mono.Clock
-	// Baseline is for measurements only.
+	// Baseline selects a simpler routing policy. It is for measurements only.
 	Baseline Baseline
 	// Keys sign the sessions' tokens.
 	Keys *session.KeyRing
@@ -48,7 +48,7 @@
 	wait     sync.WaitGroup
 }
 
-// New makes a server without a listener.
+// New returns a server that has no listener yet.
 func New(o Options) *Server {
 	return &Server{o: o, router: newRouter(o.View, o.Peers, o.Clock), sessions: map[uint64]*caller{}}
 }
@@ -79,14 +79,14 @@
 	s.serving = serving
 }
 
-// Serving reports whether new sessions are taken.
+// Serving reports whether the server accepts new sessions.
 func (s *Server) Serving() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.serving && !s.leaving
 }
 
-// handle serves one connection to its end.
+// handle serves one connection until it ends.
 func (s *Server) handle(nc net.Conn) {
 	defer nc.Close()
 	contain.Run(s.o.Log, "session", func() { s.session(nc) })
@@ -103,7 +103,7 @@
 	s.o.Log.Debug("event=session_ended", "session", sess.number, "error", err)
 }
 
-// admit registers a session, or says why not.
+// admit registers a session, or returns why it is refused.
 func (s *Server) admit(sess *caller) *result.Error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/entry/session.go
+++ b/internal/entry/session.go
@@ -16,7 +16,7 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// transaction is the open transaction of a session: where it runs.
+// transaction is the open transaction of a session and the place where it runs.
 type transaction struct {
 	// number is the hop id of the request that opened it.
 	number uint64
@@ -28,8 +28,8 @@
 	write  bool
 }
 
-// caller is one caller's connection. Only its own goroutine uses it, but for
-// the fields below mu.
+// caller is the session of one caller's connection. mu guards the fields below it;
+// only the session's own goroutine uses the others.
 type caller struct {
 	server   *Server
 	net      net.Conn
@@ -37,7 +37,7 @@
 	number   uint64
 	secret   []byte
 	options  options
-	initial  options // of the start-up, for RESET
+	initial  options // values at start-up, which RESET restores
 	admitted string  // the member that the session counts for
 	prepared preparedTable
 	unit     unit
@@ -48,7 +48,7 @@
 
 	mu     sync.Mutex
 	idle   bool
-	grace  time.Time // set: the daemon leaves, and idle sessions end then
+	grace  time.Time // end of an idle session, set when the daemon shuts down
 	flight flight
 }
 
@@ -64,7 +64,7 @@
 	}
 }
 
-// run serves requests until the caller goes.
+// run serves requests until the session ends.
 func (s *caller) run() error {
 	s.backend.SetMaxBodyLen(s.server.o.View.Config().Limits().MessageBytes)
 	for {
@@ -101,14 +101,14 @@
 	return s.fatal(result.New(result.BadProtocol, "%v", err))
 }
 
-// fatal tells the caller the result and ends the connection.
+// fatal reports the error to the caller and returns it, which ends the session.
 func (s *caller) fatal(e *result.Error) error {
 	s.backend.Send(pgwire.ErrorResponse(e, pgwire.SeverityFatal))
 	_ = s.backend.Flush()
 	return e
 }
 
-// refuse tells the caller the result; the session goes on.
+// refuse reports the error to the caller. The session continues.
 func (s *caller) refuse(e *result.Error) error {
 	s.backend.Send(pgwire.ErrorResponse(e, pgwire.SeverityError))
 	s.backend.Send(&pgproto3.ReadyForQuery{TxStatus: pgwire.Idle})
@@ -116,19 +116,19 @@
 }
 
 // setOption changes an option for the requests that follow. A token raises the
-// floors of the session; another session id is another session.
+// floors of the session; a session id opens another session.
 func (s *caller) setOption(name, value string) *result.Error {
 	before := s.options
 	if failure := s.options.set(name, value); failure != nil {
 		return failure
 	}
 	if s.session == nil {
-		return nil // Still in the start-up, which opens the session when all is known.
+		return nil // takeParameters opens the session once all options are set.
 	}
 	switch name {
 	case "service", "member":
 		if name == "service" {
-			s.options.member = "" // The service's own.
+			s.options.member = "" // checkOptions fills in the service's member.
 		}
 		if failure := s.checkOptions(); failure != nil {
 			s.options = before
@@ -144,19 +144,19 @@
 	return nil
 }
 
-// resetOption gives an option the value of the start-up again.
+// resetOption restores the option's value at start-up.
 func (s *caller) resetOption(name string) *result.Error {
 	field := s.initial.field(name)
 	if field == nil {
 		return result.New(result.BadOption, "no option %q", optionPrefix+name)
 	}
 	if name == "token" && *field == "" {
-		return nil // Floors stay: a session never forgets what it wrote.
+		return nil // The floors stay, so that the session keeps reading its own writes.
 	}
 	return s.setOption(name, *field)
 }
 
-// openSession starts the session that the options name.
+// openSession opens the session of the options' session id and token.
 func (s *caller) openSession() *result.Error {
 	opened, err := session.Open(s.options.session, s.options.token, s.server.o.Keys)
 	if err != nil {
--- a/internal/entry/silent.go
+++ b/internal/entry/silent.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// silentAfter is how long a hop lasts before its pooler is asked, on a new
-	// connection, whether the request is under way there.
+	// silentAfter is the duration of a hop after which its pooler is asked, on a
+	// new connection, whether it is executing the request.
 	silentAfter = 750 * time.Millisecond
-	// silentLook is the time between the two looks: an answer that is on its way
-	// at the first has come by the second.
+	// silentLook is the delay between the two checks: an answer that is in transit
+	// at the first check has arrived by the second.
 	silentLook = 100 * time.Millisecond
-	// askTimeout of one such question.
+	// askTimeout bounds one check.
 	askTimeout = 500 * time.Millisecond
 )
 
-// watchHop ends a hop whose connection went silent: its pooler answers on a new
-// one and knows nothing of the request, yet no answer has come. The answer is
-// lost, and the caller of a write learns at once that its outcome is unknown,
-// not at a deadline minutes away. A pooler that does not answer is left to the
-// evidence about its VM.
+// watchHop cancels a hop whose connection no longer delivers data: the pooler
+// reports on a new connection that it is not executing the request, yet no answer
+// has arrived. The answer is lost, and the caller of a write is told at once that
+// the outcome is unknown instead of at a deadline that may be minutes away. When the
+// pooler does not answer the check, watchHop leaves the hop to the failure detection
+// of the pooler's VM.
 func (s *caller) watchHop(ctx context.Context, pooler topology.VM, msg *peerpb.ExecuteRequest) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	timer := time.AfterFunc(silentAfter, func() {
@@ -37,7 +38,7 @@
 			return
 		}
 		s.server.o.Log.Info("event=silent_connection", "pooler", pooler.ID)
-		s.server.o.Peers.Get(pooler).CloseIdle() // They took the same path.
+		s.server.o.Peers.Get(pooler).CloseIdle() // They may have lost the same network path.
 		cancel()
 	})
 	return ctx, func() {
@@ -46,8 +47,8 @@
 	}
 }
 
-// underWay is false only when the pooler has said twice that it does not know the
-// request.
+// underWay returns false only when the pooler has reported twice that it is not
+// executing the request.
 func (s *caller) underWay(ctx context.Context, pooler topology.VM, msg *peerpb.ExecuteRequest) bool {
 	if s.ask(ctx, pooler, msg) || !wait.For(ctx, silentLook) {
 		return true
--- a/internal/entry/splice.go
+++ b/internal/entry/splice.go
@@ -4,7 +4,7 @@
 	"github.com/buckthornshore/buckthornshore/internal/pgwire"
 )
 
-// stepKind says which frames answer a message.
+// stepKind determines which frames answer a message.
 type stepKind int
 
 const (
@@ -20,13 +20,13 @@
 // step is one message of a unit and how it is answered.
 type step struct {
 	kind     stepKind
-	injected bool   // the entry added it: its answer is not the caller's
+	injected bool   // added by the entry; its answer is not sent to the caller
 	name     string // of a prepared statement
-	local    *local // to be run when the unit is served
+	local    *local // statement to be executed by the entry when the unit is served
 	reply    []byte // the entry's own answer
 }
 
-// endedBy reports whether a frame of the type is the last of the step's answer.
+// endedBy reports whether a frame of the type ends the step's answer.
 func (st *step) endedBy(frame byte) bool {
 	switch st.kind {
 	case stepParse:
@@ -44,17 +44,17 @@
 	return false
 }
 
-// splicer puts the target's frames and the entry's own in the order of the
+// splicer merges the target's frames and the entry's own answers in the order of the
 // caller's messages.
 type splicer struct {
 	steps  []step
-	next   int // the step whose answer comes next
+	next   int // index of the step that the next frame answers
 	failed bool
 	out    []byte
 }
 
-// splice returns the caller's answer, and how many steps were answered without
-// an error.
+// splice merges the target's messages with the entry's own answers. It returns the
+// answer to the caller and the number of steps that were answered without an error.
 func (u *unit) splice(messages []byte) ([]byte, int, error) {
 	s := splicer{steps: u.steps, out: make([]byte, 0, len(messages))}
 	s.own()
@@ -62,7 +62,7 @@
 	return s.out, s.next, err
 }
 
-// own adds the entry's answers that are due.
+// own appends the entry's answers to the local steps that come next.
 func (s *splicer) own() {
 	for s.next < len(s.steps) && s.steps[s.next].kind == stepLocal {
 		s.out = append(s.out, s.steps[s.next].reply...)
--- a/internal/entry/startup.go
+++ b/internal/entry/startup.go
@@ -13,17 +13,19 @@
 )
 
 const (
-	// comeBack is when a caller that was refused for a passing reason may try again.
+	// comeBack is the delay after which a caller may retry a request that was
+	// refused for a temporary reason.
 	comeBack = time.Second
-	// startUpTimeout bounds how long a connection may take to start a session.
+	// startUpTimeout bounds the time from accepting a connection to the start of its
+	// session.
 	startUpTimeout = 5 * time.Second
-	// secretLength of a cancel key in bytes, as protocol 3.0 fixes it.
+	// secretLength is the length of a cancel key in bytes in protocol 3.0.
 	secretLength = 4
 )
 
 var errCancelRequest = errors.New("entry: cancel request")
 
-// startUp answers the start-up message and registers the session.
+// startUp handles the start-up message and registers the session.
 func (s *caller) startUp() error {
 	_ = s.net.SetDeadline(time.Now().Add(startUpTimeout))
 	startup, err := s.receiveStartUp()
@@ -44,7 +46,8 @@
 	return s.net.SetDeadline(time.Time{})
 }
 
-// receiveStartUp refuses encryption and passes cancel requests on.
+// receiveStartUp returns the start-up message. It refuses encryption and executes
+// cancel requests.
 func (s *caller) receiveStartUp() (*pgproto3.StartupMessage, error) {
 	for {
 		msg, err := s.backend.ReceiveStartupMessage()
@@ -87,9 +90,9 @@
 	return s.openSession()
 }
 
-// takeOptions reads the start-up parameter "options" ("-c name=value"), the one
-// way to give start-up parameters from psql. Those that are not ours are passed
-// over, since they would be the target's.
+// takeOptions parses the start-up parameter "options" ("-c name=value"), the only way
+// to set start-up parameters from psql. It ignores names without optionPrefix, which
+// are settings of the target.
 func (s *caller) takeOptions(text string) *result.Error {
 	for _, word := range strings.Fields(text) {
 		word = strings.TrimLeft(strings.TrimPrefix(word, "-c"), "-")
@@ -105,7 +108,8 @@
 	return nil
 }
 
-// checkOptions finds what a session must name before its first request.
+// checkOptions checks that the service exists and is owned by the member. An empty
+// member is set to the service's own.
 func (s *caller) checkOptions() *result.Error {
 	conf := s.server.o.View.Config()
 	if conf == nil {
@@ -124,7 +128,7 @@
 	return nil
 }
 
-// greet sends what a client expects after authentication.
+// greet sends the messages that a client expects after the start-up message.
 func (s *caller) greet() {
 	s.backend.Send(&pgproto3.AuthenticationOk{})
 	for _, p := range [][2]string{
@@ -143,8 +147,8 @@
 	s.backend.Send(&pgproto3.ReadyForQuery{TxStatus: pgwire.Idle})
 }
 
-// cancel ends the request that a session has under way. A wrong key is passed
-// over in silence, as the protocol has it.
+// cancel cancels the request in progress of the session with the key. A wrong key is
+// silently ignored, as the protocol requires.
 func (s *Server) cancel(m *pgproto3.CancelRequest) {
 	if sess := s.sessionOf(m); sess != nil {
 		sess.cancelRequest()
--- a/internal/entry/transaction.go
+++ b/internal/entry/transaction.go
@@ -9,7 +9,8 @@
 	"github.com/buckthornshore/buckthornshore/rpc/peerpb"
 )
 
-// noteTransaction remembers where the session's open transaction runs.
+// noteTransaction updates the session's open transaction from the answer to a
+// request.
 func (s *caller) noteTransaction(req *request, d destination, resp *peerpb.ExecuteResponse) {
 	status := byte(resp.TxStatus)
 	if status == pgwire.Idle {
@@ -31,12 +32,12 @@
 	}
 }
 
-// releaseTimeout bounds the message that frees a transaction; its pooler frees
-// it by itself after the idle time-out when the message is lost.
+// releaseTimeout bounds the call that releases a transaction. If the call is lost,
+// the pooler releases the transaction after its idle time-out.
 const releaseTimeout = time.Second
 
-// releaseTransaction frees the connection of a transaction that the session
-// leaves open.
+// releaseTransaction releases the target's connection that an unfinished
+// transaction of the session holds.
 func (s *caller) releaseTransaction() {
 	if s.tx == nil {
 		return
--- a/internal/entry/unit.go
+++ b/internal/entry/unit.go
@@ -9,19 +9,19 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// unit collects a caller's messages up to a Query or a Sync: what is sent to a
-// target and answered as a whole.
+// unit collects a caller's messages up to a Query or a Sync. They are sent to a
+// target and answered together.
 type unit struct {
-	messages []byte // for the target
-	steps    []step // one for each message, of the target's and of the entry's own
-	current  string // the prepared statement that the target's unnamed one holds
-	holds    bool   // false: the unnamed one holds nothing yet
+	messages []byte // encoded messages for the target
+	steps    []step // one for each message, for the target or the entry itself
+	current  string // name of the prepared statement in the target's unnamed statement
+	holds    bool   // reports whether the target's unnamed statement is set
 	portals  map[string]*local
-	// runs tells that the messages execute something at the target.
+	// runs is set when the messages execute a statement at the target.
 	runs bool
-	// spliced: the target's answer has to be merged with the entry's own.
+	// spliced is set when the target's answer has to be merged with the entry's own.
 	spliced bool
-	// failure is the first error; what follows up to the Sync is passed over.
+	// failure is the first error. Messages after it are ignored up to the Sync.
 	failure *pgproto3.ErrorResponse
 }
 
@@ -29,17 +29,18 @@
 
 func (u *unit) reset() { *u = unit{messages: u.messages[:0], steps: u.steps[:0]} }
 
-// add takes a message in; whole is true when the unit can be served.
+// add adds a message to the unit. It returns true when the unit is complete.
 //
-// Named prepared statements live here, not at a target: connections are shared
-// between sessions, so a statement prepared on one would be missing on, or
-// belong to somebody else on, the next. Each use sends its text again.
+// Named prepared statements are kept at the entry, not at a target: sessions share
+// the targets' connections, so a statement that was prepared on one connection would
+// be missing on the next, or be that of another session. A unit that uses a
+// statement sends its text again.
 func (u *unit) add(s *caller, msg pgproto3.FrontendMessage) (whole bool) {
 	if _, ok := msg.(*pgproto3.Sync); ok {
 		return u.sync()
 	}
 	if u.failure != nil {
-		return false // As PostgreSQL does: after an error all is passed over up to the Sync.
+		return false // As in PostgreSQL, all messages after an error are ignored up to the Sync.
 	}
 	if len(u.messages) > s.server.o.View.Config().Limits().MessageBytes {
 		u.fail(pgwire.ErrorResponse(result.New(result.MessageTooLarge, "all messages up to the Sync"), pgwire.SeverityError))
@@ -63,18 +64,19 @@
 	case *pgproto3.Close:
 		u.addClose(s, m)
 	case *pgproto3.Flush, *pgproto3.CopyData, *pgproto3.CopyDone, *pgproto3.CopyFail:
-		// Answers come with the Sync: a target's answer travels as a whole. Copy
-		// messages outside of a COPY are passed over, as PostgreSQL does.
+		// Answers are sent at the Sync, as a target's answer is passed on only when
+		// it is complete. Copy messages outside of a COPY are ignored, as in
+		// PostgreSQL.
 	default:
 		u.refuse(result.New(result.BadProtocol, "message %T is not served", msg))
 	}
 	return false
 }
 
-// sync ends the unit.
+// sync completes the unit, with a Sync for the target if it has messages for one.
 func (u *unit) sync() bool {
 	if len(u.messages) > 0 {
-		u.messages, _ = (&pgproto3.Sync{}).Encode(u.messages) // Has nothing to encode.
+		u.messages, _ = (&pgproto3.Sync{}).Encode(u.messages) // A Sync never fails to encode.
 	}
 	return true
 }
@@ -83,7 +85,7 @@
 
 func (u *unit) refuse(e *result.Error) { u.fail(pgwire.ErrorResponse(e, pgwire.SeverityError)) }
 
-// remote adds a message for the target.
+// remote adds a message that is sent to the target.
 func (u *unit) remote(st step, m pgproto3.FrontendMessage) {
 	out, err := m.Encode(u.messages)
 	if err != nil {
@@ -107,7 +109,8 @@
 	u.spliced = true
 }
 
-// addQuery splits the leading statements of ours off a simple query.
+// addQuery adds a simple query. Leading statements that the entry answers itself
+// become steps of their own.
 func (u *unit) addQuery(m *pgproto3.Query) {
 	rest := m.String
 	for {
@@ -165,14 +168,16 @@
 	u.remote(step{kind: stepParse, injected: injected, name: name}, &p.Parse)
 }
 
-// ensure makes the target's unnamed statement hold the named one.
+// ensure adds a Parse of the prepared statement, unless it is the target's unnamed
+// statement already.
 func (u *unit) ensure(name string, p *preparedStatement) {
 	if !u.holds || u.current != name {
 		u.sendParse(name, p, true)
 	}
 }
 
-// find returns a prepared statement, or nil and fails the unit.
+// find returns the prepared statement of the name. If there is none, it fails the
+// unit and returns nil.
 func (u *unit) find(s *caller, name string) *preparedStatement {
 	p := s.prepared.get(name)
 	if p == nil {
@@ -201,7 +206,7 @@
 	u.remote(step{kind: stepBind}, &b)
 }
 
-// objectStatement marks a prepared statement in Describe and Close.
+// objectStatement is the object type of a prepared statement in Describe and Close.
 const objectStatement = 'S'
 
 func (u *unit) addDescribe(s *caller, m *pgproto3.Describe) {
@@ -247,7 +252,7 @@
 	u.own(step{reply: encode(nil, &pgproto3.CloseComplete{})})
 }
 
-// PostgreSQL's states of errors with prepared statements.
+// SQLSTATE codes of PostgreSQL's errors about prepared statements.
 const (
 	stateNoStatement        = "26000"
 	stateDuplicateStatement = "42P05"
