--- a/internal/entry/baseline.go
+++ b/internal/entry/baseline.go
@@ -28,7 +28,7 @@
 	}
 	vm, ok := r.view.PoolerOf(d.target)
 	if !ok {
-		return d, result.New(result.PoolerUnreachable, "no VM for %s", d.target).After(comeBack)
+		return d, result.New(result.PoolerUnreachable, "no VM for %s", d.target).After(defaultRetryAfter)
 	}
 	d.pooler = vm
 	return d, nil
--- a/internal/entry/cancel.go
+++ b/internal/entry/cancel.go
@@ -18,11 +18,11 @@
 	cancelRetry = 10 * time.Millisecond
 )
 
-// flight is the request that a session is executing.
-type flight struct {
-	stop      context.CancelFunc // ends the request's waits; nil when there is no request
-	hop       *hop               // nil between attempts
-	cancelled bool
+// activeRequest is the request that a session is executing.
+type activeRequest struct {
+	cancelWaits context.CancelFunc // ends the request's waits; nil when there is no request
+	hop         *hop               // nil between attempts
+	cancelled   bool
 }
 
 // hop is one attempt of a request at a pooler.
@@ -31,43 +31,43 @@
 	cancel *peerpb.CancelRequest
 }
 
-// beginFlight registers the request, so that cancel requests find it.
-func (s *caller) beginFlight(stop context.CancelFunc) {
+// beginRequest registers the request, so that cancel requests find it.
+func (s *callerSession) beginRequest(cancelWaits context.CancelFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.flight = flight{stop: stop}
+	s.activeRequest = activeRequest{cancelWaits: cancelWaits}
 }
 
-func (s *caller) endFlight() {
+func (s *callerSession) endRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.flight = flight{}
+	s.activeRequest = activeRequest{}
 }
 
 // beginHop registers the attempt. It returns false when the request has been
 // cancelled already.
-func (s *caller) beginHop(pooler topology.VM, msg *peerpb.ExecuteRequest) bool {
+func (s *callerSession) beginHop(pooler topology.VM, msg *peerpb.ExecuteRequest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.flight.hop = &hop{pooler: pooler, cancel: &peerpb.CancelRequest{
+	s.activeRequest.hop = &hop{pooler: pooler, cancel: &peerpb.CancelRequest{
 		Entry:            msg.Entry,
 		EntryIncarnation: msg.EntryIncarnation,
 		Target:           msg.Target,
 		HopId:            msg.HopId,
 	}}
-	return !s.flight.cancelled
+	return !s.activeRequest.cancelled
 }
 
-func (s *caller) endHop() {
+func (s *callerSession) endHop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.flight.hop = nil
+	s.activeRequest.hop = nil
 }
 
 // cancelRequest cancels the request in progress, if any. When the request is at a
 // pooler, the pooler cancels the statement at its target, and the answer reports
 // whether it has run.
-func (s *caller) cancelRequest() {
+func (s *callerSession) cancelRequest() {
 	ctx, done := context.WithTimeout(context.Background(), cancelTimeout)
 	defer done()
 	first := s.markCancelled()
@@ -81,31 +81,31 @@
 
 // markCancelled returns the attempt in progress. Between attempts it returns nil
 // and ends the request's waits at this entry.
-func (s *caller) markCancelled() *hop {
+func (s *callerSession) markCancelled() *hop {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.flight.stop == nil {
+	if s.activeRequest.cancelWaits == nil {
 		return nil
 	}
-	s.flight.cancelled = true
-	if s.flight.hop == nil {
-		s.flight.stop()
+	s.activeRequest.cancelled = true
+	if s.activeRequest.hop == nil {
+		s.activeRequest.cancelWaits()
 	}
-	return s.flight.hop
+	return s.activeRequest.hop
 }
 
-func (s *caller) currentHop() *hop {
+func (s *callerSession) currentHop() *hop {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.flight.hop
+	return s.activeRequest.hop
 }
 
 // cancelled returns the Cancelled result of a request that was cancelled before
 // it ran, or nil when the request was not cancelled or may have run.
-func (s *caller) cancelled(failure *result.Error) *result.Error {
+func (s *callerSession) cancelled(failure *result.Error) *result.Error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.flight.cancelled || failure.Ran != result.NotRun {
+	if !s.activeRequest.cancelled || failure.Ran != result.NotRun {
 		return nil
 	}
 	e := result.New(result.Cancelled, "it has not run")
--- a/internal/entry/crossed_test.go
+++ b/internal/entry/crossed_test.go
@@ -51,7 +51,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		ask := func(who string) (*peerpb.ExecuteResponse, *result.Error) {
-			s := &caller{server: server, session: &session.Session{}, options: options{session: who}}
+			s := &callerSession{server: server, session: &session.Session{}, options: options{session: who}}
 			return s.hop(ctx, req, d, false)
 		}
 		got, failure := ask("first")
--- a/internal/entry/drain.go
+++ b/internal/entry/drain.go
@@ -23,15 +23,15 @@
 // drainState is the state of a session while its daemon shuts down. Only the
 // session's own goroutine uses it.
 type drainState struct {
-	told   bool // the shutdown was announced to the caller
-	served bool // a request was served since the announcement
+	announced bool // the shutdown was announced to the caller
+	served    bool // a request was served since the announcement
 }
 
-// countUnit records that the unit about to be served is the session's last one.
+// markLastUnit records that the unit about to be served is the session's last one.
 // A unit that only prepares a statement does not count, since the caller will
 // execute the statement next.
-func (d *drainState) countUnit(u *unit) {
-	if d.told && u.runs {
+func (d *drainState) markLastUnit(u *unit) {
+	if d.announced && u.executes {
 		d.served = true
 	}
 }
@@ -42,7 +42,7 @@
 func (s *Server) Leave(grace time.Time) {
 	s.mu.Lock()
 	s.leaving = true
-	open := make([]*caller, 0, len(s.sessions))
+	open := make([]*callerSession, 0, len(s.sessions))
 	for _, sess := range s.sessions {
 		open = append(open, sess)
 	}
@@ -54,13 +54,13 @@
 
 // leave sets the time at which the session ends and, if the session is idle,
 // interrupts its wait for the next request.
-func (s *caller) leave(grace time.Time) {
+func (s *callerSession) leave(graceEnd time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.grace.IsZero() {
+	if !s.graceEnd.IsZero() {
 		return
 	}
-	s.grace = grace
+	s.graceEnd = graceEnd
 	if s.idle {
 		_ = s.net.SetReadDeadline(time.Now())
 	}
@@ -68,27 +68,27 @@
 
 // leavingAt returns the time at which an idle session is ended, or the zero time
 // while the daemon is not shutting down.
-func (s *caller) leavingAt() time.Time {
+func (s *callerSession) leavingAt() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.grace
+	return s.graceEnd
 }
 
 // setIdle records whether the session is idle and returns the time at which an
 // idle session is ended, as leavingAt does.
-func (s *caller) setIdle(idle bool) time.Time {
+func (s *callerSession) setIdle(idle bool) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.idle = idle
-	return s.grace
+	return s.graceEnd
 }
 
 // errLeaving ends a session of a daemon that is shutting down.
-var errLeaving = errors.New("entry: daemon is shutting down")
+var errLeaving = errors.New("entry: daemon is leaving")
 
 // receive waits for the next message. A shutdown interrupts it only between
 // requests and outside transactions; a partly received message is kept.
-func (s *caller) receive() (pgproto3.FrontendMessage, error) {
+func (s *callerSession) receive() (pgproto3.FrontendMessage, error) {
 	for {
 		if err := s.beforeReceive(); err != nil {
 			return nil, err
@@ -106,7 +106,7 @@
 
 // beforeReceive announces a shutdown to an idle session, or returns errLeaving when
 // the session has to end.
-func (s *caller) beforeReceive() error {
+func (s *callerSession) beforeReceive() error {
 	if s.tx != nil || !s.unit.empty() {
 		return nil
 	}
@@ -114,20 +114,20 @@
 	if grace.IsZero() {
 		return nil
 	}
-	if s.drain.served || s.drain.told && !time.Now().Before(grace) {
+	if s.drain.served || s.drain.announced && !time.Now().Before(grace) {
 		return errLeaving
 	}
-	if err := s.tellLeaving(); err != nil {
+	if err := s.announceLeaving(); err != nil {
 		return err
 	}
 	return s.net.SetReadDeadline(grace)
 }
 
-func (s *caller) tellLeaving() error {
-	if s.drain.told {
+func (s *callerSession) announceLeaving() error {
+	if s.drain.announced {
 		return nil
 	}
-	s.drain.told = true
+	s.drain.announced = true
 	s.backend.Send(&pgproto3.ParameterStatus{Name: leavingParameter, Value: "on"})
 	return s.backend.Flush()
 }
@@ -136,9 +136,9 @@
 // connection with unread data resets it. If the caller has just sent a request, it
 // may then lose the previous answer, or the error that reports the request as not
 // run. So endLeaving closes only the sending side and reads on for lingerTime.
-func (s *caller) endLeaving() error {
+func (s *callerSession) endLeaving() error {
 	_ = s.net.SetDeadline(time.Now().Add(lingerTime))
-	failure := s.fatal(result.New(result.Leaving, "%s", s.server.o.View.Self().ID).After(comeBack))
+	failure := s.fatal(result.New(result.Leaving, "%s", s.server.o.View.Self().ID).After(defaultRetryAfter))
 	if half, ok := s.net.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
 		_, _ = io.Copy(io.Discard, s.net)
 	}
--- a/internal/entry/explain.go
+++ b/internal/entry/explain.go
@@ -18,11 +18,11 @@
 	if row == nil {
 		return nil, result.New(result.NoPrimary, "%s", group)
 	}
-	need := routing.Request{Write: class.Kind == config.Write, Floor: floor, Staleness: class.Staleness.Std()}
-	if need.Staleness == 0 {
-		need.Staleness = routing.AnyAge
+	requirements := routing.Request{Write: class.Kind == config.Write, Floor: floor, Staleness: class.Staleness.Std()}
+	if requirements.Staleness == 0 {
+		requirements.Staleness = routing.AnyAge
 	}
-	return s.router.explain(row, need)
+	return s.router.explain(row, requirements)
 }
 
 // explain rates the group's targets and chooses one. The explanation is valid also
@@ -37,7 +37,7 @@
 	for _, t := range targets {
 		candidates = append(candidates, r.candidate(g, row, t, now))
 	}
-	why, err := routing.Choose(now, req, g.fresh, candidates, r.random)
+	why, err := routing.Choose(now, req, g.freshness, candidates, r.random)
 	if err != nil {
 		return why, result.From(err)
 	}
--- a/internal/entry/floors.go
+++ b/internal/entry/floors.go
@@ -12,8 +12,9 @@
 	"github.com/buckthornshore/buckthornshore/rpc/peerpb"
 )
 
-// fetched is the result of a position fetch for one of the reads that waited for it.
-type fetched struct {
+// fetchResult is the result of a position fetch for one of the reads that waited for
+// it.
+type fetchResult struct {
 	newest  position.Position
 	session position.Position // floor of the read's session; newest if it has none
 	err     *result.Error
@@ -22,7 +23,7 @@
 // waiter is a read that waits for a position fetch.
 type waiter struct {
 	session string
-	result  chan fetched
+	result  chan fetchResult
 }
 
 // floorTable holds the position fetches of all groups and the reads that wait for
@@ -43,9 +44,9 @@
 // fetchFloor asks the primary's pooler for the newest position and, when session
 // is not empty, for the session's floor. The fetch never starts before the call, and
 // is shared with the other waiting reads of the group.
-func (r *router) fetchFloor(ctx context.Context, group topology.GroupID, session string) (fetched, *result.Error) {
+func (r *router) fetchFloor(ctx context.Context, group topology.GroupID, session string) (fetchResult, *result.Error) {
 	key := routing.FetchKey{Group: group}
-	w := waiter{session: session, result: make(chan fetched, 1)}
+	w := waiter{session: session, result: make(chan fetchResult, 1)}
 	r.mu.Lock()
 	r.floors.nextID++
 	id := r.floors.nextID
@@ -63,7 +64,7 @@
 		return got, got.err
 	case <-ctx.Done():
 		r.cancelFloor(key, id)
-		return fetched{}, result.New(result.DeadlineInQueue, "no position of %s in time", group).After(comeBack)
+		return fetchResult{}, result.New(result.DeadlineInQueue, "no position of %s in time", group).After(defaultRetryAfter)
 	}
 }
 
@@ -77,15 +78,15 @@
 // runFetches runs a fetch and then, one by one, the fetches that endFetch returns.
 func (r *router) runFetches(start routing.StartFetch) {
 	for next := &start; next != nil; {
-		sessions := r.waitingSessions(next.Key.Group)
+		sessions := r.sessionsOfWaiters(next.Key.Group)
 		begun := r.clock.Now()
 		resp, failure := r.readPosition(next.Key.Group, sessions)
 		next = r.endFetch(*next, sessions, begun, resp, failure)
 	}
 }
 
-// waitingSessions returns the sessions of the group's waiting reads.
-func (r *router) waitingSessions(group topology.GroupID) []string {
+// sessionsOfWaiters returns the sessions of the group's waiting reads.
+func (r *router) sessionsOfWaiters(group topology.GroupID) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	seen := map[string]bool{}
@@ -102,13 +103,13 @@
 func (r *router) readPosition(group topology.GroupID, sessions []string) (*peerpb.PositionResponse, *result.Error) {
 	row := r.view.Group(group)
 	if row == nil {
-		return nil, result.New(result.NoPrimary, "%s", group).After(comeBack)
+		return nil, result.New(result.NoPrimary, "%s", group).After(defaultRetryAfter)
 	}
 	vm, ok := r.view.PoolerOf(row.Primary)
 	if !ok {
-		return nil, result.New(result.PoolerUnreachable, "no VM for %s", row.Primary).After(comeBack)
+		return nil, result.New(result.PoolerUnreachable, "no VM for %s", row.Primary).After(defaultRetryAfter)
 	}
-	ctx, cancel := r.call(context.Background())
+	ctx, cancel := r.positionContext(context.Background())
 	defer cancel()
 	resp, err := r.peers.Get(vm).ReadPosition(ctx, &peerpb.PositionRequest{
 		Group:    string(group),
@@ -136,7 +137,7 @@
 		}
 	}
 	if row := r.view.Group(f.Key.Group); row != nil && failure == nil {
-		r.sample(row, begun, newest)
+		r.addSample(row, begun, newest)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -151,11 +152,11 @@
 			continue
 		}
 		delete(r.floors.waiters[f.Key.Group], id)
-		own, known := floors[w.session]
+		sessionFloor, known := floors[w.session]
 		if !known {
-			own = newest
+			sessionFloor = newest
 		}
-		w.result <- fetched{newest: newest, session: own, err: failure}
+		w.result <- fetchResult{newest: newest, session: sessionFloor, err: failure}
 	}
 	return next
 }
--- a/internal/entry/fuzz_test.go
+++ b/internal/entry/fuzz_test.go
@@ -38,12 +38,12 @@
 	f.Fuzz(func(t *testing.T, messages, plan []byte) {
 		const injected = 0x80
 		var u unit
-		own := 0
+		localAnswers := 0
 		for _, b := range plan {
 			st := step{kind: stepKind(b % 7), injected: b&injected != 0}
 			if st.kind == stepLocal {
 				st.reply, st.injected = []byte{'n', 0, 0, 0, 4}, false
-				own++
+				localAnswers++
 			}
 			u.steps = append(u.steps, st)
 		}
@@ -54,7 +54,7 @@
 		if err == nil && pgwire.Split(out, func(pgwire.Frame) error { return nil }) != nil {
 			t.Fatal("the answer does not consist of complete frames")
 		}
-		if len(out) > len(messages)+own*5 {
+		if len(out) > len(messages)+localAnswers*5 {
 			t.Fatal("an answer of the entry appears twice")
 		}
 	})
--- a/internal/entry/history.go
+++ b/internal/entry/history.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// rowWait bounds the wait for a group's row that a target received before
-	// this VM did, and rowPoll is the interval at which the wait checks for it.
-	rowWait = time.Second
-	rowPoll = 5 * time.Millisecond
+	// rowWait bounds the wait for a group's row that a target received before this
+	// VM did, and rowPollInterval is the interval at which the wait checks for it.
+	rowWait         = time.Second
+	rowPollInterval = 5 * time.Millisecond
 )
 
 // accept checks a read's answer for a target whose term is later than that of the
@@ -23,14 +23,14 @@
 // session, which only the newer row shows: the caller would miss its own write
 // without an error. So accept waits for the newer row and computes the floor again,
 // which fails if a write was lost.
-func (s *caller) accept(ctx context.Context, req *request, row *topology.Group, resp *peerpb.ExecuteResponse) (*peerpb.ExecuteResponse, *result.Error) {
+func (s *callerSession) accept(ctx context.Context, req *request, row *topology.Group, resp *peerpb.ExecuteResponse) (*peerpb.ExecuteResponse, *result.Error) {
 	term := peers.Position(resp.Position).Term
 	if row != nil && term <= row.Term {
 		return resp, nil
 	}
 	newer := s.awaitTerm(ctx, req.group, term)
 	if newer == nil {
-		return nil, result.New(result.ReplicaBehind, "%s: its row of term %d is not known yet", req.group, term).After(comeBack)
+		return nil, result.New(result.ReplicaBehind, "%s: its row of term %d is not known yet", req.group, term).After(defaultRetryAfter)
 	}
 	if _, err := s.session.ReadFloor(newer); err != nil {
 		return nil, result.From(err)
@@ -40,14 +40,14 @@
 
 // awaitTerm waits until the group's row has the term or a later one, and returns
 // the row. It returns nil after rowWait.
-func (s *caller) awaitTerm(ctx context.Context, group topology.GroupID, term uint64) *topology.Group {
+func (s *callerSession) awaitTerm(ctx context.Context, group topology.GroupID, term uint64) *topology.Group {
 	ctx, cancel := context.WithTimeout(ctx, rowWait)
 	defer cancel()
 	for {
 		if row := s.server.o.View.Group(group); row != nil && row.Term >= term {
 			return row
 		}
-		if !wait.For(ctx, rowPoll) {
+		if !wait.For(ctx, rowPollInterval) {
 			return nil
 		}
 	}
--- a/internal/entry/history_test.go
+++ b/internal/entry/history_test.go
@@ -41,7 +41,7 @@
 		v := view.New(topology.VM{ID: "vm-1", DataCentre: "a", Incarnation: 1}, mono.System{})
 		before := &topology.Group{ID: "s/g", Version: 1, Term: 1, Primary: "t1"}
 		applyRow(v, before)
-		s := &caller{server: New(Options{View: v, Clock: mono.System{}}), session: &session.Session{}}
+		s := &callerSession{server: New(Options{View: v, Clock: mono.System{}}), session: &session.Session{}}
 		s.session.Acknowledged("s/g", position.Position{Term: 1, Index: 5})
 		go func() {
 			time.Sleep(50 * time.Millisecond)
--- a/internal/entry/hops.go
+++ b/internal/entry/hops.go
@@ -43,11 +43,11 @@
 	}
 }
 
-// cut cancels the group's requests of terms before term, whose primary has been
-// replaced. The pooler of a replaced primary may be unreachable and must not
+// cancelOlder cancels the group's requests of terms before term, whose primary has
+// been replaced. The pooler of a replaced primary may be unreachable and must not
 // acknowledge writes any more, so waiting longer would only delay the caller's
 // answer.
-func (h *hops) cut(group topology.GroupID, term uint64) {
+func (h *hops) cancelOlder(group topology.GroupID, term uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for entry := range h.open[group] {
@@ -61,6 +61,6 @@
 // primaries that these rows replace.
 func (s *Server) GroupsChanged(groups []*topology.Group) {
 	for _, g := range groups {
-		s.hops.cut(g.ID, g.Term)
+		s.hops.cancelOlder(g.ID, g.Term)
 	}
 }
--- a/internal/entry/interrupt.go
+++ b/internal/entry/interrupt.go
@@ -9,9 +9,9 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// probeEvery is the interval at which a single write tries the primary of an
+// probeInterval is the interval at which a single write tries the primary of an
 // interrupted group.
-const probeEvery = 20 * time.Millisecond
+const probeInterval = 20 * time.Millisecond
 
 // interruption is the state of a group whose primary accepts no writes at present.
 // One write at a time tries the primary; the others wait until it succeeds or a
@@ -20,11 +20,12 @@
 type interruption struct {
 	version   uint64 // of the group's row when the interruption began
 	nextProbe mono.Time
-	over      chan struct{}
+	ended     chan struct{}
 }
 
-// interrupts reports whether the failure means that the primary accepts no writes.
-func interrupts(failure *result.Error) bool {
+// primaryUnavailable reports whether the failure means that the primary accepts no
+// writes.
+func primaryUnavailable(failure *result.Error) bool {
 	switch failure.Code {
 	case result.NoPrimary, result.NoRight, result.TermRefused, result.PoolerUnreachable, result.WrongPooler,
 		result.TargetUnreachable, result.Leaving, result.NoReplicaForClass:
@@ -36,27 +37,27 @@
 // awaitPrimary waits until a write may try the group's primary.
 func (r *router) awaitPrimary(ctx context.Context, id topology.GroupID) *result.Error {
 	for {
-		over, wait := r.interrupted(id)
-		if over == nil {
+		ended, wait := r.probeOrWait(id)
+		if ended == nil {
 			return nil
 		}
 		timer := time.NewTimer(wait)
 		select {
-		case <-over:
+		case <-ended:
 		case <-timer.C:
 		case <-ctx.Done():
 			timer.Stop()
-			return result.New(result.NoPrimary, "%s takes no writes at present", id).After(comeBack)
+			return result.New(result.NoPrimary, "%s takes no writes at present", id).After(defaultRetryAfter)
 		}
 		timer.Stop()
 	}
 }
 
-// interrupted returns a nil channel when the write may try the primary; during an
+// probeOrWait returns a nil channel when the write may try the primary; during an
 // interruption the write has then taken the probe that was due. Otherwise it returns
 // the channel that is closed at the interruption's end, and the time to the next
 // probe.
-func (r *router) interrupted(id topology.GroupID) (<-chan struct{}, time.Duration) {
+func (r *router) probeOrWait(id topology.GroupID) (<-chan struct{}, time.Duration) {
 	version := uint64(0)
 	if row := r.view.Group(id); row != nil {
 		version = row.Version
@@ -73,26 +74,26 @@
 	}
 	now := r.clock.Now()
 	if !now.Before(i.nextProbe) {
-		i.nextProbe = now.Add(probeEvery)
+		i.nextProbe = now.Add(probeInterval)
 		return nil, 0
 	}
-	return i.over, i.nextProbe.Sub(now)
+	return i.ended, i.nextProbe.Sub(now)
 }
 
 // endInterruption releases all waiting writes. The caller holds r.mu.
 func (r *router) endInterruption(id topology.GroupID) {
 	if i := r.interruptions[id]; i != nil {
-		close(i.over)
+		close(i.ended)
 		delete(r.interruptions, id)
 	}
 }
 
-// noteWrite starts or ends the group's interruption according to the result of a
-// write's attempt.
-func (r *router) noteWrite(id topology.GroupID, failure *result.Error) {
+// recordWriteResult starts or ends the group's interruption according to the result
+// of a write's attempt.
+func (r *router) recordWriteResult(id topology.GroupID, failure *result.Error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if failure == nil || !interrupts(failure) {
+	if failure == nil || !primaryUnavailable(failure) {
 		r.endInterruption(id)
 		return
 	}
@@ -105,7 +106,7 @@
 	}
 	r.interruptions[id] = &interruption{
 		version:   version,
-		nextProbe: r.clock.Now().Add(probeEvery),
-		over:      make(chan struct{}),
+		nextProbe: r.clock.Now().Add(probeInterval),
+		ended:     make(chan struct{}),
 	}
 }
--- a/internal/entry/local.go
+++ b/internal/entry/local.go
@@ -20,8 +20,8 @@
 	localOutcome
 )
 
-// local is a statement that the entry answers itself.
-type local struct {
+// localStatement is a statement that the entry answers itself.
+type localStatement struct {
 	kind  localKind
 	name  string // of the option without its prefix, or of the function
 	value string // new value of a SET, or the request id of an outcome query
@@ -48,22 +48,22 @@
 
 // parseLocal parses a statement that the entry answers itself from the start of sql.
 // rest is the text after it.
-func parseLocal(sql string) (l local, rest string, ok bool) {
+func parseLocal(sql string) (l localStatement, rest string, ok bool) {
 	if !mentionsOptions(sql) {
-		return local{}, sql, false
+		return localStatement{}, sql, false
 	}
 	for _, p := range localPatterns {
 		m := p.pattern.FindStringSubmatch(sql)
 		if m == nil {
 			continue
 		}
-		l = local{kind: p.kind, name: strings.ToLower(m[1])}
+		l = localStatement{kind: p.kind, name: strings.ToLower(m[1])}
 		if len(m) > 2 {
 			l.value = unquote(m[2])
 		}
 		return l, sql[len(m[0]):], true
 	}
-	return local{}, sql, false
+	return localStatement{}, sql, false
 }
 
 func unquote(value string) string {
@@ -76,36 +76,36 @@
 // mentionsOptions reports whether sql contains the option prefix in any case. It is
 // a cheap check that spares most statements the regular expressions.
 func mentionsOptions(sql string) bool {
-	const word = len(optionPrefix)
-	for i := 0; i+word <= len(sql); i++ {
-		if sql[i]|lowerCase == optionPrefix[0] && strings.EqualFold(sql[i:i+word], optionPrefix) {
+	const prefixLen = len(optionPrefix)
+	for i := 0; i+prefixLen <= len(sql); i++ {
+		if sql[i]|asciiLowerCaseBit == optionPrefix[0] && strings.EqualFold(sql[i:i+prefixLen], optionPrefix) {
 			return true
 		}
 	}
 	return false
 }
 
-// lowerCase is the bit that is set in lower-case ASCII letters only.
-const lowerCase = 0x20
+// asciiLowerCaseBit is the bit that is set in lower-case ASCII letters only.
+const asciiLowerCaseBit = 0x20
 
-// guarded matches statements that would change the settings by which a pooler binds
-// its connection to a term and to the replicas that a commit waits for.
-var guarded = regexp.MustCompile(`(?is)\b(?:set|reset|set_config)\b[^;]*buckthornshore\.`)
+// protectedSettings matches statements that would change the settings by which a
+// pooler binds its connection to a term and to the replicas that a commit waits for.
+var protectedSettings = regexp.MustCompile(`(?is)\b(?:set|reset|set_config)\b[^;]*buckthornshore\.`)
 
-// checkPassedOn refuses SQL that would reach a target with a statement that only the
-// entry may answer, because that statement does not come first or is written in
+// checkForwardedSQL refuses SQL that would reach a target with a statement that only
+// the entry may answer, because that statement does not come first or is written in
 // another form. The target would execute it as its own.
-func checkPassedOn(sql string) *result.Error {
-	if mentionsOptions(sql) && guarded.MatchString(sql) {
+func checkForwardedSQL(sql string) *result.Error {
+	if mentionsOptions(sql) && protectedSettings.MatchString(sql) {
 		return result.New(result.BadOption, "SET, RESET, SHOW and outcome of %s* are written plainly and come first", optionPrefix)
 	}
 	return nil
 }
 
-// hasRow reports whether the statement returns one row with one column.
-func (l *local) hasRow() bool { return l.kind == localShow || l.kind == localOutcome }
+// returnsRow reports whether the statement returns one row with one column.
+func (l *localStatement) returnsRow() bool { return l.kind == localShow || l.kind == localOutcome }
 
-func (l *local) tag() string {
+func (l *localStatement) tag() string {
 	switch l.kind {
 	case localSet:
 		return "SET"
@@ -119,8 +119,8 @@
 }
 
 // description is the statement's RowDescription, or NoData.
-func (l *local) description() pgproto3.BackendMessage {
-	if !l.hasRow() {
+func (l *localStatement) description() pgproto3.BackendMessage {
+	if !l.returnsRow() {
 		return &pgproto3.NoData{}
 	}
 	name := l.name
@@ -134,19 +134,19 @@
 
 // runLocal executes the statement and returns its encoded DataRow, if any, and
 // CommandComplete.
-func (s *caller) runLocal(l *local) ([]byte, *result.Error) {
+func (s *callerSession) runLocal(l *localStatement) ([]byte, *result.Error) {
 	value, failure := s.evaluate(l)
 	if failure != nil {
 		return nil, failure
 	}
 	var out []byte
-	if l.hasRow() {
+	if l.returnsRow() {
 		out = encode(out, &pgproto3.DataRow{Values: [][]byte{[]byte(value)}})
 	}
 	return encode(out, &pgproto3.CommandComplete{CommandTag: []byte(l.tag())}), nil
 }
 
-func (s *caller) evaluate(l *local) (string, *result.Error) {
+func (s *callerSession) evaluate(l *localStatement) (string, *result.Error) {
 	switch l.kind {
 	case localSet:
 		return "", s.setOption(l.name, l.value)
--- a/internal/entry/measure.go
+++ b/internal/entry/measure.go
@@ -7,10 +7,10 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// measure records the metrics of an answered request. Only class names from the
+// recordRequest records the metrics of an answered request. Only class names from the
 // configuration become tags; req is nil when the unit was refused before a
 // request was made of it.
-func (s *caller) measure(req *request, begun time.Time, failure *result.Error) {
+func (s *callerSession) recordRequest(req *request, begun time.Time, failure *result.Error) {
 	class := ""
 	if req != nil {
 		class = req.class.Name
@@ -18,8 +18,8 @@
 	s.server.o.Metrics.Request(s.options.member, class, failure, time.Since(begun))
 }
 
-// measureServed records the role of the target that answered a read.
-func (s *caller) measureServed(req *request, d destination) {
+// recordReadServed records the role of the target that answered a read.
+func (s *callerSession) recordReadServed(req *request, d destination) {
 	if req.class.Kind != config.Read {
 		return
 	}
--- a/internal/entry/outcome.go
+++ b/internal/entry/outcome.go
@@ -18,20 +18,21 @@
 	outcomeNotRun = "not run"
 )
 
-// claimedBy is the value of a ledger row that an outcome query inserted before the
+// notRunMarker is the value of a ledger row that an outcome query inserted before the
 // request ran. No class has this name.
-const claimedBy = "!not run"
+const notRunMarker = "!not run"
 
-// askedTable gets a row with each outcome query. This makes every query a write,
-// whose acknowledgement waits for replicas as the class demands. Replicas that hold
-// this write hold all earlier writes too, so a failover cannot revert either answer.
-const askedTable = "buckthornshore_asked"
+// outcomeQueryTable gets a row with each outcome query. This makes every query a
+// write, whose acknowledgement waits for replicas as the class demands. Replicas
+// that hold this write hold all earlier writes too, so a failover cannot revert
+// either answer.
+const outcomeQueryTable = "buckthornshore_asked"
 
 // outcome returns whether the request has run. The answer is final: the query
 // inserts the id into the ledger if it is missing there, so a request that is still
 // in progress elsewhere conflicts with that row and fails as a whole, and "not run"
 // stays true.
-func (s *caller) outcome(id string) (string, *result.Error) {
+func (s *callerSession) outcome(id string) (string, *result.Error) {
 	if s.tx != nil {
 		return "", result.New(result.BadOption, "outcome is not asked for within a transaction")
 	}
@@ -41,14 +42,14 @@
 	}
 	begun := time.Now()
 	resp, failure := s.routeWithinLimits(req)
-	s.measure(req, begun, failure)
+	s.recordRequest(req, begun, failure)
 	if failure != nil {
 		return "", failure
 	}
 	return readOutcome(resp.Messages)
 }
 
-func (s *caller) newOutcomeRequest(id string) (*request, *result.Error) {
+func (s *callerSession) newOutcomeRequest(id string) (*request, *result.Error) {
 	conf := s.server.o.View.Config()
 	class, ok := conf.Class(s.options.service, s.options.class)
 	if !ok || class.Kind != config.Write {
@@ -68,8 +69,8 @@
 
 func outcomeSQL(id string) string {
 	key := "'" + strings.ReplaceAll(id, "'", "''") + "'"
-	return "INSERT INTO " + pooler.LedgerTable + " (k, v) VALUES (" + key + ", '" + claimedBy + "') ON CONFLICT (k) DO NOTHING; " +
-		"INSERT INTO " + askedTable + " (k, v) VALUES (" + key + ", '') ON CONFLICT (k) DO UPDATE SET v = excluded.v; " +
+	return "INSERT INTO " + pooler.LedgerTable + " (k, v) VALUES (" + key + ", '" + notRunMarker + "') ON CONFLICT (k) DO NOTHING; " +
+		"INSERT INTO " + outcomeQueryTable + " (k, v) VALUES (" + key + ", '') ON CONFLICT (k) DO UPDATE SET v = excluded.v; " +
 		"SELECT v FROM " + pooler.LedgerTable + " WHERE k = " + key
 }
 
@@ -86,7 +87,7 @@
 				return err
 			}
 			answer = outcomeRun
-			if len(row.Values) == 1 && string(row.Values[0]) == claimedBy {
+			if len(row.Values) == 1 && string(row.Values[0]) == notRunMarker {
 				answer = outcomeNotRun
 			}
 		}
--- a/internal/entry/prepared.go
+++ b/internal/entry/prepared.go
@@ -9,14 +9,14 @@
 // Limits of the prepared statements of one session. The entry keeps their texts in
 // memory until the session ends.
 const (
-	maxPrepared      = 1024
-	maxPreparedBytes = 4 << 20
+	maxPreparedStatements = 1024
+	maxPreparedBytes      = 4 << 20
 )
 
 // preparedStatement is a statement as the caller prepared it.
 type preparedStatement struct {
-	pgproto3.Parse        // without a name
-	local          *local // not nil if the entry answers the statement itself
+	pgproto3.Parse                 // without a name
+	localStatement *localStatement // not nil if the entry answers the statement itself
 }
 
 // preparedTable holds a session's prepared statements by name. The zero value is
@@ -30,8 +30,8 @@
 
 func (t *preparedTable) put(name string, p *preparedStatement) *result.Error {
 	t.remove(name)
-	if len(t.statements) >= maxPrepared {
-		return result.New(result.BadProtocol, "more than %d prepared statements", maxPrepared)
+	if len(t.statements) >= maxPreparedStatements {
+		return result.New(result.BadProtocol, "more than %d prepared statements", maxPreparedStatements)
 	}
 	if t.bytes+size(name, p) > maxPreparedBytes {
 		return result.New(result.MessageTooLarge, "prepared statements of more than %d bytes", maxPreparedBytes)
--- a/internal/entry/route.go
+++ b/internal/entry/route.go
@@ -21,20 +21,20 @@
 const (
 	// floorWait bounds the wait for a replica that is behind the floor.
 	floorWait = 20 * time.Millisecond
-	// patience is the time-out of a read's attempt, without queueing, as a multiple
-	// of the target's average latency, and leastPatience is the lower bound of that time-out.
-	// After it the read tries another target.
-	patience      = 8
-	leastPatience = 250 * time.Millisecond
+	// readTimeoutFactor is the time-out of a read's attempt, without queueing, as a
+	// multiple of the target's average latency, and minReadTimeout is the lower
+	// bound of that time-out. After it the read tries another target.
+	readTimeoutFactor = 8
+	minReadTimeout    = 250 * time.Millisecond
 )
 
 // route sends the request to a target that may execute it, retries as its class
 // permits, and returns the complete answer.
-func (s *caller) route(req *request) (*peerpb.ExecuteResponse, *result.Error) {
+func (s *callerSession) route(req *request) (*peerpb.ExecuteResponse, *result.Error) {
 	ctx, cancel := context.WithTimeout(context.Background(), req.class.Deadline.Std())
 	defer cancel()
-	s.beginFlight(cancel)
-	defer s.endFlight()
+	s.beginRequest(cancel)
+	defer s.endRequest()
 	if s.tx != nil {
 		return s.continueTransaction(ctx, req)
 	}
@@ -42,49 +42,49 @@
 	policy := retry.DefaultPolicy()
 	reached := 0
 	for attempt := 1; ; attempt++ {
-		resp, failure := s.tryInTurn(ctx, req)
+		resp, failure := s.tryWhenWritable(ctx, req)
 		if failure == nil {
 			return resp, nil
 		}
-		if stopped := s.cancelled(failure); stopped != nil {
-			return nil, stopped
+		if cancellation := s.cancelled(failure); cancellation != nil {
+			return nil, cancellation
 		}
 		if reachedTarget(failure) {
 			reached++
 		}
 		if reached >= req.class.MaxAttempts {
-			return nil, final(failure, req)
+			return nil, finalError(failure, req)
 		}
-		outcome := retry.Outcome{Attempt: attemptsThatCount(req, failure, attempt, reached), Err: failure, Member: s.options.member}
-		decision := s.server.router.next(policy, outcome, retryClass(req.class), deadline)
+		outcome := retry.Outcome{Attempt: countedAttempts(req, failure, attempt, reached), Err: failure, Member: s.options.member}
+		decision := s.server.router.decideRetry(policy, outcome, retryClass(req.class), deadline)
 		if decision.Err != nil {
 			return nil, decision.Err
 		}
 		s.server.o.Metrics.Retry(s.options.member, req.class.Name)
 		s.server.o.Log.Debug("event=retry", "class", req.class.Name, "attempt", attempt, "failure", failure)
-		if !waitForNext(ctx, req, failure, min(decision.After, longestPauseOf(req, attempt))) {
-			return nil, final(failure, req)
+		if !waitForNext(ctx, req, failure, min(decision.After, maxRetryPauseOf(req, attempt))) {
+			return nil, finalError(failure, req)
 		}
 	}
 }
 
-// longestPause bounds the pause between attempts. A newer row of the group may
+// maxRetryPause bounds the pause between attempts. A newer row of the group may
 // arrive at any moment, and the next attempt then uses the new primary.
-const longestPause = 50 * time.Millisecond
+const maxRetryPause = 50 * time.Millisecond
 
 const (
-	// quickTries is the number of retries of a read that follow after only
-	// quickPause, since a failure at one target does not predict a failure at the
+	// fastRetries is the number of retries of a read that follow after only
+	// fastRetryPause, since a failure at one target does not predict a failure at the
 	// next. It is small because a group has few targets.
-	quickTries = 3
-	quickPause = 2 * time.Millisecond
+	fastRetries    = 3
+	fastRetryPause = 2 * time.Millisecond
 )
 
-func longestPauseOf(req *request, attempt int) time.Duration {
-	if req.class.Kind == config.Read && attempt <= quickTries {
-		return quickPause
+func maxRetryPauseOf(req *request, attempt int) time.Duration {
+	if req.class.Kind == config.Read && attempt <= fastRetries {
+		return fastRetryPause
 	}
-	return longestPause
+	return maxRetryPause
 }
 
 // waitForNext pauses before the next attempt. It returns false when ctx is done. A
@@ -92,18 +92,18 @@
 // Nothing else paces reads: without the pause, a read would use up its attempts
 // within milliseconds.
 func waitForNext(ctx context.Context, req *request, failure *result.Error, d time.Duration) bool {
-	if req.class.Kind == config.Write && interrupts(failure) {
+	if req.class.Kind == config.Write && primaryUnavailable(failure) {
 		return true
 	}
 	return wait.For(ctx, d)
 }
 
-// attemptsThatCount returns the number of attempts for the retry policy. It leaves
+// countedAttempts returns the number of attempts for the retry policy. It leaves
 // out a write's attempts that found no primary to execute them: awaitPrimary paces
 // these at one per 20 ms, so that the policy's limit of 200 would be reached after
 // 4 s of a failover although the write's deadline may be minutes away.
-func attemptsThatCount(req *request, failure *result.Error, attempt, reached int) int {
-	if req.class.Kind == config.Write && interrupts(failure) {
+func countedAttempts(req *request, failure *result.Error, attempt, reached int) int {
+	if req.class.Kind == config.Write && primaryUnavailable(failure) {
 		return reached + 1
 	}
 	return attempt
@@ -112,17 +112,17 @@
 // reachedTarget reports whether the attempt counts against the class's limit.
 // Attempts that found no target to execute them do not.
 func reachedTarget(failure *result.Error) bool {
-	return !interrupts(failure) && failure.Code != result.AgeNotShown && failure.Code != result.ReplicaBehind
+	return !primaryUnavailable(failure) && failure.Code != result.AgeNotShown && failure.Code != result.ReplicaBehind
 }
 
-// final returns the error for the caller when no further attempt is made. A write of
-// unknown outcome that must not run twice carries no retry time.
-func final(failure *result.Error, req *request) *result.Error {
+// finalError returns the error for the caller when no further attempt is made. A
+// write of unknown outcome that must not run twice carries no retry time.
+func finalError(failure *result.Error, req *request) *result.Error {
 	if failure.Ran == result.Unknown && req.class.Kind == config.Write && !req.class.Repeatable {
 		return result.New(result.OutcomeUnknown, "%s: %s", failure.Code.Name(), failure.Detail)
 	}
 	if failure.RetryAfter == 0 && failure.Ran == result.NotRun {
-		return failure.After(comeBack)
+		return failure.After(defaultRetryAfter)
 	}
 	return failure
 }
@@ -145,9 +145,9 @@
 	return s.o.Clock.Now().Add(time.Until(at))
 }
 
-// tryInTurn makes one attempt. A write first waits while its group's primary accepts
-// no writes.
-func (s *caller) tryInTurn(ctx context.Context, req *request) (*peerpb.ExecuteResponse, *result.Error) {
+// tryWhenWritable makes one attempt. A write first waits while its group's primary
+// accepts no writes.
+func (s *callerSession) tryWhenWritable(ctx context.Context, req *request) (*peerpb.ExecuteResponse, *result.Error) {
 	if req.class.Kind != config.Write {
 		return s.try(ctx, req)
 	}
@@ -155,15 +155,15 @@
 		return nil, failure
 	}
 	resp, failure := s.try(ctx, req)
-	s.server.router.noteWrite(req.group, failure)
+	s.server.router.recordWriteResult(req.group, failure)
 	return resp, failure
 }
 
 // try makes one attempt at a target that meets the request's requirements.
-func (s *caller) try(ctx context.Context, req *request) (*peerpb.ExecuteResponse, *result.Error) {
+func (s *callerSession) try(ctx context.Context, req *request) (*peerpb.ExecuteResponse, *result.Error) {
 	row := s.server.o.View.Group(req.group)
 	if row == nil {
-		return nil, result.New(result.NoPrimary, "%s", req.group).After(comeBack)
+		return nil, result.New(result.NoPrimary, "%s", req.group).After(defaultRetryAfter)
 	}
 	if b := s.server.o.Baseline; b != "" {
 		d, failure := s.server.router.chooseBaseline(b, row, req.class.Kind == config.Write)
@@ -172,21 +172,21 @@
 		}
 		return s.attempt(ctx, req, d, false)
 	}
-	need, failure := s.need(ctx, req, row)
+	requirements, failure := s.requirements(ctx, req, row)
 	if failure != nil {
 		return nil, failure
 	}
-	d, failure := s.server.router.choose(row, need)
+	d, failure := s.server.router.choose(row, requirements)
 	if failure != nil && failure.Code == result.AgeNotShown {
-		d, failure = s.chooseWithSample(ctx, row, need)
+		d, failure = s.chooseWithSample(ctx, row, requirements)
 	}
 	if failure != nil {
 		return nil, failure
 	}
-	if need.Write {
+	if requirements.Write {
 		return s.attempt(ctx, req, d, false)
 	}
-	hopCtx, cancel := context.WithTimeout(ctx, s.server.router.patienceFor(row, d.target))
+	hopCtx, cancel := context.WithTimeout(ctx, s.server.router.readTimeout(row, d.target))
 	defer cancel()
 	resp, failure := s.attempt(hopCtx, req, d, false)
 	if failure != nil {
@@ -200,13 +200,13 @@
 }
 
 // continueTransaction sends the request to the target of its open transaction.
-func (s *caller) continueTransaction(ctx context.Context, req *request) (*peerpb.ExecuteResponse, *result.Error) {
+func (s *callerSession) continueTransaction(ctx context.Context, req *request) (*peerpb.ExecuteResponse, *result.Error) {
 	row := s.server.o.View.Group(req.group)
 	d := destination{target: s.tx.target, pooler: s.tx.pooler, term: s.tx.term}
 	resp, failure := s.attempt(ctx, req, d, true)
 	if failure != nil {
-		if stopped := s.cancelled(failure); stopped != nil {
-			return nil, stopped
+		if cancellation := s.cancelled(failure); cancellation != nil {
+			return nil, cancellation
 		}
 		return nil, failure
 	}
@@ -216,8 +216,8 @@
 	return s.accept(ctx, req, row, resp)
 }
 
-// need returns what a target must fulfil to answer the request.
-func (s *caller) need(ctx context.Context, req *request, row *topology.Group) (routing.Request, *result.Error) {
+// requirements returns what a target must fulfil to answer the request.
+func (s *callerSession) requirements(ctx context.Context, req *request, row *topology.Group) (routing.Request, *result.Error) {
 	floor, err := s.session.ReadFloor(row)
 	if err != nil {
 		// This applies to writes too: their transactions may read, and would
@@ -246,28 +246,28 @@
 // chooseWithSample fetches the primary's position and then chooses a target. It is
 // used when no sample is recent enough to prove a replica's staleness, as the group
 // had no traffic lately.
-func (s *caller) chooseWithSample(ctx context.Context, row *topology.Group, need routing.Request) (destination, *result.Error) {
+func (s *callerSession) chooseWithSample(ctx context.Context, row *topology.Group, requirements routing.Request) (destination, *result.Error) {
 	if _, failure := s.server.router.fetchFloor(ctx, row.ID, ""); failure != nil {
 		return destination{}, failure
 	}
-	d, failure := s.server.router.choose(row, need)
+	d, failure := s.server.router.choose(row, requirements)
 	return d, failure
 }
 
-// patienceFor returns the time-out of a read's attempt. Without it a target that
+// readTimeout returns the time-out of a read's attempt. Without it a target that
 // hangs would use up the request's whole deadline, although another target could
 // answer.
-func (r *router) patienceFor(row *topology.Group, id topology.TargetID) time.Duration {
+func (r *router) readTimeout(row *topology.Group, id topology.TargetID) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.group(row).estimate(id)
 	queueing := time.Duration(e.queue+e.inFlight) * e.service
-	return max(leastPatience, patience*e.latency+2*queueing)
+	return max(minReadTimeout, readTimeoutFactor*e.latency+2*queueing)
 }
 
 // attempt sends the request to one pooler and records the result in the router's
 // estimates.
-func (s *caller) attempt(ctx context.Context, req *request, d destination, inTransaction bool) (*peerpb.ExecuteResponse, *result.Error) {
+func (s *callerSession) attempt(ctx context.Context, req *request, d destination, inTransaction bool) (*peerpb.ExecuteResponse, *result.Error) {
 	row := s.server.o.View.Group(req.group)
 	begun := s.server.router.sent(row, d.target)
 	resp, failure := s.hop(ctx, req, d, inTransaction)
@@ -275,35 +275,35 @@
 		s.server.router.failed(row, d.target, failure)
 		return nil, failure
 	}
-	s.server.router.answered(row, d, begun, reply{
+	s.server.router.answered(row, d, begun, answerInfo{
 		position: peers.Position(resp.Position),
 		queue:    int(resp.QueueLength),
 		queued:   time.Duration(resp.QueueUs) * time.Microsecond,
 		ran:      time.Duration(resp.RunUs) * time.Microsecond,
 	})
 	s.noteTransaction(req, d, resp)
-	s.measureServed(req, d)
+	s.recordReadServed(req, d)
 	return resp, nil
 }
 
 // hop sends the request to the pooler's VM and returns its answer.
-func (s *caller) hop(ctx context.Context, req *request, d destination, inTransaction bool) (*peerpb.ExecuteResponse, *result.Error) {
+func (s *callerSession) hop(ctx context.Context, req *request, d destination, inTransaction bool) (*peerpb.ExecuteResponse, *result.Error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer s.server.hops.add(req.group, d.term, cancel)()
-	if failure := s.server.loads.takeHop(d.pooler.ID); failure != nil {
+	if failure := s.server.limiter.acquireHop(d.pooler.ID); failure != nil {
 		return nil, failure
 	}
-	defer s.server.loads.hops.give(d.pooler.ID)
-	msg := s.message(ctx, req, d, inTransaction)
+	defer s.server.limiter.hops.release(d.pooler.ID)
+	msg := s.newExecuteRequest(ctx, req, d, inTransaction)
 	defer s.endHop()
 	if !s.beginHop(d.pooler, msg) {
 		e := result.New(result.Cancelled, "it has not run")
 		e.Ran = result.NotRun
 		return nil, e
 	}
-	ctx, unwatch := s.watchHop(ctx, d.pooler, msg)
-	defer unwatch()
+	ctx, stopWatch := s.watchHop(ctx, d.pooler, msg)
+	defer stopWatch()
 	if log := s.server.o.Log; log != nil && log.Enabled(ctx, slog.LevelDebug) {
 		log.Debug("event=hop", "entry", msg.Entry, "hop", msg.HopId, "vm", d.pooler.ID, "target", msg.Target, "class", msg.Class)
 	}
@@ -319,7 +319,7 @@
 	return resp, peers.Result(resp.Failure)
 }
 
-func (s *caller) message(ctx context.Context, req *request, d destination, inTransaction bool) *peerpb.ExecuteRequest {
+func (s *callerSession) newExecuteRequest(ctx context.Context, req *request, d destination, inTransaction bool) *peerpb.ExecuteRequest {
 	self := s.server.o.View.Self()
 	deadline, _ := ctx.Deadline()
 	hopID := s.server.hopID.Add(1)
@@ -327,7 +327,7 @@
 	if s.tx != nil {
 		number = s.tx.number
 	}
-	left := max(0, min(time.Until(deadline).Milliseconds(), math.MaxUint32))
+	remaining := max(0, min(time.Until(deadline).Milliseconds(), math.MaxUint32))
 	return &peerpb.ExecuteRequest{
 		HopId:            hopID,
 		Entry:            string(self.ID),
@@ -340,7 +340,7 @@
 		Class:            req.class.Name,
 		CallerRequestId:  s.options.requestID,
 		Session:          s.options.session,
-		DeadlineMs:       uint32(left),
+		DeadlineMs:       uint32(remaining),
 		Floor:            peers.PositionTo(d.floor),
 		FloorWaitMs:      uint32(floorWait.Milliseconds()),
 		Transaction:      number,
--- a/internal/entry/router.go
+++ b/internal/entry/router.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// keptAge is the greatest staleness that can be proved, and ageResolution the
-	// greatest error of a proved staleness. Together they bound the samples of a
-	// group to about 250, or 8 KB.
-	keptAge       = 2 * time.Minute
-	ageResolution = 2 * time.Second
-	// suspectFor is the time for which reads avoid a target after a failure.
-	suspectFor = time.Second
-	// averageParts is the divisor of the moving averages: a new measurement has
-	// the weight 1/averageParts.
-	averageParts = 8
-	// firstLatency is the latency assumed for a target that has not answered yet.
-	firstLatency = 2 * time.Millisecond
+	// sampleRetention is the greatest staleness that can be proved, and
+	// ageResolution the greatest error of a proved staleness. Together they bound
+	// the samples of a group to about 250, or 8 KB.
+	sampleRetention = 2 * time.Minute
+	ageResolution   = 2 * time.Second
+	// suspectTime is the time for which reads avoid a target after a failure.
+	suspectTime = time.Second
+	// averageDivisor is the divisor of the moving averages: a new measurement has
+	// the weight 1/averageDivisor.
+	averageDivisor = 8
+	// initialLatency is the latency assumed for a target that has not answered yet.
+	initialLatency = 2 * time.Millisecond
 )
 
 // destination is the target of an attempt and the pooler that serves it.
@@ -49,14 +49,14 @@
 	failedAt mono.Time
 	failed   bool
 	// avoid is set when the target refuses connections or has failed twice within
-	// 2*suspectFor. Reads then exclude a replica for suspectFor after the failure.
+	// 2*suspectTime. Reads then exclude a replica for suspectTime after the failure.
 	avoid bool
 }
 
-// groupTable holds this entry's data about one group.
-type groupTable struct {
-	fresh   *routing.Freshness
-	targets map[topology.TargetID]*estimate
+// groupState holds this entry's data about one group.
+type groupState struct {
+	freshness *routing.Freshness
+	targets   map[topology.TargetID]*estimate
 }
 
 // router chooses targets and updates its estimates from their answers. It is safe for
@@ -67,7 +67,7 @@
 	clock mono.Clock
 
 	mu      sync.Mutex
-	groups  map[topology.GroupID]*groupTable
+	groups  map[topology.GroupID]*groupState
 	random  *rand.Rand
 	budgets *retry.Budgets
 	floors  floorTable
@@ -87,7 +87,7 @@
 		view:    v,
 		peers:   p,
 		clock:   clock,
-		groups:  map[topology.GroupID]*groupTable{},
+		groups:  map[topology.GroupID]*groupState{},
 		random:  rand.New(rand.NewPCG(seed, seed)),
 		budgets: retry.NewBudgets(retriesPerSecond, retryBurst),
 		floors:  newFloorTable(),
@@ -98,20 +98,20 @@
 
 // group returns the table of the row's group, updated with the row. The caller
 // holds r.mu.
-func (r *router) group(row *topology.Group) *groupTable {
+func (r *router) group(row *topology.Group) *groupState {
 	g := r.groups[row.ID]
 	if g == nil {
-		g = &groupTable{fresh: routing.NewFreshness(keptAge, ageResolution), targets: map[topology.TargetID]*estimate{}}
+		g = &groupState{freshness: routing.NewFreshness(sampleRetention, ageResolution), targets: map[topology.TargetID]*estimate{}}
 		r.groups[row.ID] = g
 	}
-	g.fresh.SetGroup(row)
+	g.freshness.SetGroup(row)
 	return g
 }
 
-func (g *groupTable) estimate(id topology.TargetID) *estimate {
+func (g *groupState) estimate(id topology.TargetID) *estimate {
 	e := g.targets[id]
 	if e == nil {
-		e = &estimate{latency: firstLatency, service: firstLatency}
+		e = &estimate{latency: initialLatency, service: initialLatency}
 		g.targets[id] = e
 	}
 	return e
@@ -129,7 +129,7 @@
 	}
 	vm, ok := r.view.PoolerOf(why.Chosen)
 	if !ok {
-		return d, result.New(result.PoolerUnreachable, "no VM for %s", why.Chosen).After(comeBack)
+		return d, result.New(result.PoolerUnreachable, "no VM for %s", why.Chosen).After(defaultRetryAfter)
 	}
 	d.pooler = vm
 	return d, nil
@@ -141,7 +141,7 @@
 	return g.Targets
 }
 
-func (r *router) candidate(g *groupTable, row *topology.Group, t config.Target, now mono.Time) routing.Candidate {
+func (r *router) candidate(g *groupState, row *topology.Group, t config.Target, now mono.Time) routing.Candidate {
 	e := g.estimate(t.ID)
 	c := routing.Candidate{
 		Target:      t.ID,
@@ -156,7 +156,7 @@
 	switch {
 	case t.Leaving && !c.Primary:
 		c.State = routing.Leaving
-	case t.Leaving, e.failed && now.Sub(e.failedAt) < suspectFor:
+	case t.Leaving, e.failed && now.Sub(e.failedAt) < suspectTime:
 		// A leaving primary accepts writes until its successor is promoted.
 		c.State = routing.Suspect
 		if e.avoid && !c.Primary {
@@ -176,8 +176,8 @@
 	return r.clock.Now()
 }
 
-// reply is the part of an answer that the router's estimates are updated from.
-type reply struct {
+// answerInfo is the part of an answer that the router's estimates are updated from.
+type answerInfo struct {
 	position position.Position
 	queue    int
 	queued   time.Duration
@@ -186,7 +186,7 @@
 
 // answered updates the target's estimate from the answer to a request that was sent
 // at begun.
-func (r *router) answered(row *topology.Group, d destination, begun mono.Time, a reply) {
+func (r *router) answered(row *topology.Group, d destination, begun mono.Time, a answerInfo) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
@@ -197,14 +197,14 @@
 	e.queue = a.queue
 	e.service = average(e.service, a.ran)
 	e.latency = average(e.latency, max(0, now.Sub(begun)-a.queued))
-	g.fresh.Learn(d.target, a.position, now)
+	g.freshness.Learn(d.target, a.position, now)
 	if d.target == row.Primary && d.term != 0 {
-		g.fresh.AddSample(routing.Sample{Begun: begun, Position: a.position})
+		g.freshness.AddSample(routing.Sample{Begun: begun, Position: a.position})
 	}
 }
 
 func average(old, measured time.Duration) time.Duration {
-	return old + (measured-old)/averageParts
+	return old + (measured-old)/averageDivisor
 }
 
 // failed updates the target's estimate from an attempt that failed.
@@ -217,30 +217,30 @@
 	e.inFlight--
 	switch failure.Code {
 	case result.ReplicaBehind:
-		if at, ok := g.fresh.Applied(target); ok {
-			g.fresh.MarkBehind(target, at.Position, now)
+		if at, ok := g.freshness.Applied(target); ok {
+			g.freshness.MarkBehind(target, at.Position, now)
 		} else {
-			g.fresh.MarkBehind(target, position.Position{}, now)
+			g.freshness.MarkBehind(target, position.Position{}, now)
 		}
 	case result.TargetUnreachable, result.TargetSilent, result.PoolerUnreachable, result.OutcomeUnknown, result.Leaving:
-		young := e.failed && now.Sub(e.failedAt) < 2*suspectFor
-		e.avoid = young || failure.Code == result.TargetUnreachable
+		repeated := e.failed && now.Sub(e.failedAt) < 2*suspectTime
+		e.avoid = repeated || failure.Code == result.TargetUnreachable
 		e.failed = true
 		e.failedAt = now
 	}
 }
 
-// sample records the primary's newest position from a fetch that started at begun.
-func (r *router) sample(row *topology.Group, begun mono.Time, at position.Position) {
+// addSample records the primary's newest position from a fetch that started at begun.
+func (r *router) addSample(row *topology.Group, begun mono.Time, at position.Position) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	g := r.group(row)
-	g.fresh.AddSample(routing.Sample{Begun: begun, Position: at})
-	g.fresh.Learn(row.Primary, at, r.clock.Now())
+	g.freshness.AddSample(routing.Sample{Begun: begun, Position: at})
+	g.freshness.Learn(row.Primary, at, r.clock.Now())
 }
 
-// next decides whether and when a failed attempt is retried.
-func (r *router) next(p retry.Policy, o retry.Outcome, class retry.Class, deadline mono.Time) retry.Decision {
+// decideRetry decides whether and when a failed attempt is retried.
+func (r *router) decideRetry(p retry.Policy, o retry.Outcome, class retry.Class, deadline mono.Time) retry.Decision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return p.Next(o, class, r.budgets, r.clock.Now(), deadline, r.random)
@@ -249,7 +249,7 @@
 // positionTimeout bounds a position fetch from the primary.
 const positionTimeout = 500 * time.Millisecond
 
-// call returns a context with the time-out of a position fetch.
-func (r *router) call(ctx context.Context) (context.Context, context.CancelFunc) {
+// positionContext returns a context with the time-out of a position fetch.
+func (r *router) positionContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, positionTimeout)
 }
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -17,7 +17,7 @@
 
 // request is one unit with the group and class that the session's options select.
 type request struct {
-	session  *caller
+	session  *callerSession
 	group    topology.GroupID
 	class    config.Class
 	messages []byte
@@ -28,12 +28,12 @@
 }
 
 // serve executes the collected unit and answers it.
-func (s *caller) serve() error {
+func (s *callerSession) serve() error {
 	defer s.unit.reset()
 	if s.unit.failure != nil {
 		return s.refuseUnit(s.unit.failure)
 	}
-	if failure := s.runLocals(); failure != nil {
+	if failure := s.runLocalStatements(); failure != nil {
 		return s.fail(failure)
 	}
 	if len(s.unit.messages) == 0 {
@@ -42,29 +42,29 @@
 	begun := time.Now()
 	req, failure := s.newRequest()
 	if failure != nil {
-		s.measure(nil, begun, failure)
+		s.recordRequest(nil, begun, failure)
 		return s.fail(failure)
 	}
 	resp, failure := s.routeWithinLimits(req)
-	s.measure(req, begun, failure)
+	s.recordRequest(req, begun, failure)
 	if failure != nil {
 		return s.fail(failure)
 	}
 	return s.answer(req, resp)
 }
 
-func (s *caller) routeWithinLimits(req *request) (*peerpb.ExecuteResponse, *result.Error) {
-	give, failure := s.takeRequest()
+func (s *callerSession) routeWithinLimits(req *request) (*peerpb.ExecuteResponse, *result.Error) {
+	release, failure := s.acquireRequest()
 	if failure != nil {
 		return nil, failure
 	}
-	defer give()
+	defer release()
 	return s.route(req)
 }
 
 // write sends an answer to the caller. It fails, which ends the session, when the
 // caller does not read the answer within answerTimeout.
-func (s *caller) write(answer []byte) error {
+func (s *callerSession) write(answer []byte) error {
 	_ = s.net.SetWriteDeadline(time.Now().Add(answerTimeout))
 	if err := s.backend.Flush(); err != nil {
 		return err
@@ -73,15 +73,15 @@
 	return err
 }
 
-// runLocals executes the unit's statements that the entry answers itself. They
-// precede all others in the unit.
-func (s *caller) runLocals() *result.Error {
+// runLocalStatements executes the unit's statements that the entry answers itself.
+// They precede all others in the unit.
+func (s *callerSession) runLocalStatements() *result.Error {
 	for i := range s.unit.steps {
 		st := &s.unit.steps[i]
-		if st.local == nil {
+		if st.localStatement == nil {
 			continue
 		}
-		out, failure := s.runLocal(st.local)
+		out, failure := s.runLocal(st.localStatement)
 		if failure != nil {
 			return failure
 		}
@@ -91,7 +91,7 @@
 }
 
 // answerLocally answers a unit that has no messages for a target.
-func (s *caller) answerLocally() error {
+func (s *callerSession) answerLocally() error {
 	out, _, err := s.unit.splice(nil)
 	if err != nil {
 		return err
@@ -101,8 +101,8 @@
 
 // refuseUnit answers an invalid unit with its error. Within a transaction it also
 // ends the connection, as every failure there does.
-func (s *caller) refuseUnit(e *pgproto3.ErrorResponse) error {
-	s.forgetParses(s.unit.steps)
+func (s *callerSession) refuseUnit(e *pgproto3.ErrorResponse) error {
+	s.removeParses(s.unit.steps)
 	if s.tx != nil {
 		s.releaseTransaction()
 		e.Severity, e.SeverityUnlocalized = pgwire.SeverityFatal, pgwire.SeverityFatal
@@ -118,7 +118,7 @@
 // errUnitRefused ends a session that sent an invalid unit within a transaction.
 var errUnitRefused = errors.New("entry: invalid unit in a transaction")
 
-func (s *caller) status() byte {
+func (s *callerSession) status() byte {
 	if s.tx != nil {
 		return s.tx.status
 	}
@@ -128,8 +128,8 @@
 // fail reports an error to the caller. Within a transaction it also ends the
 // connection: the transaction is lost, and statements that the caller has sent
 // without reading this error must not run outside it.
-func (s *caller) fail(e *result.Error) error {
-	s.forgetParses(s.unit.steps)
+func (s *callerSession) fail(e *result.Error) error {
+	s.removeParses(s.unit.steps)
 	if s.tx == nil {
 		return s.refuse(e)
 	}
@@ -137,13 +137,13 @@
 	return s.fatal(e)
 }
 
-func (s *caller) newRequest() (*request, *result.Error) {
+func (s *callerSession) newRequest() (*request, *result.Error) {
 	conf := s.server.o.View.Config()
 	class, ok := conf.Class(s.options.service, s.options.class)
 	if !ok {
 		return nil, result.New(result.UnknownClass, "%q of service %q", s.options.class, s.options.service)
 	}
-	if class.Kind == config.Write && !class.Repeatable && s.unit.runs && s.options.requestID == "" {
+	if class.Kind == config.Write && !class.Repeatable && s.unit.executes && s.options.requestID == "" {
 		return nil, result.New(result.BadRequestID, "class %q", class.Name)
 	}
 	group, failure := s.groupOf(conf)
@@ -151,7 +151,7 @@
 		return nil, failure
 	}
 	req := &request{session: s, group: group, class: class, messages: s.unit.messages, syncs: 1}
-	if !s.unit.runs {
+	if !s.unit.executes {
 		// Preparing a statement must not use up the request's id: the execution
 		// that follows would be refused as already run.
 		req.repeats = true
@@ -160,7 +160,7 @@
 	return req, nil
 }
 
-func (s *caller) groupOf(conf *config.View) (topology.GroupID, *result.Error) {
+func (s *callerSession) groupOf(conf *config.View) (topology.GroupID, *result.Error) {
 	if s.tx != nil {
 		return s.tx.group, nil
 	}
@@ -180,7 +180,7 @@
 
 // answer forwards the target's answer to the caller and updates the session's floors
 // and token from it.
-func (s *caller) answer(req *request, resp *peerpb.ExecuteResponse) error {
+func (s *callerSession) answer(req *request, resp *peerpb.ExecuteResponse) error {
 	messages, err := s.spliceAnswer(resp.Messages)
 	if err != nil {
 		return s.fatal(result.New(result.Internal, "answer: %v", err))
@@ -194,18 +194,18 @@
 
 // spliceAnswer merges the target's answer with the entry's own. It removes prepared
 // statements whose preparation failed.
-func (s *caller) spliceAnswer(messages []byte) ([]byte, error) {
+func (s *callerSession) spliceAnswer(messages []byte) ([]byte, error) {
 	if !s.unit.spliced {
 		return messages, nil
 	}
 	out, answered, err := s.unit.splice(messages)
-	s.forgetParses(s.unit.steps[answered:])
+	s.removeParses(s.unit.steps[answered:])
 	return out, err
 }
 
-// forgetParses removes the prepared statements of the steps, whose preparation was
+// removeParses removes the prepared statements of the steps, whose preparation was
 // not confirmed.
-func (s *caller) forgetParses(steps []step) {
+func (s *callerSession) removeParses(steps []step) {
 	for _, st := range steps {
 		if st.kind == stepParse && !st.injected {
 			s.prepared.remove(st.name)
@@ -218,7 +218,7 @@
 const tokenParameter = optionPrefix + "token"
 
 // sendToken sends the current token to a session that uses tokens.
-func (s *caller) sendToken() {
+func (s *callerSession) sendToken() {
 	if s.session.Mode != session.WithToken {
 		return
 	}
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -34,15 +34,15 @@
 
 // Server accepts the callers' connections.
 type Server struct {
-	o      Options
-	router *router
-	loads  loads
-	hops   hops
-	hopID  atomic.Uint64
-	number atomic.Uint64
+	o       Options
+	router  *router
+	limiter limiter
+	hops    hops
+	hopID   atomic.Uint64
+	number  atomic.Uint64
 
 	mu       sync.Mutex
-	sessions map[uint64]*caller
+	sessions map[uint64]*callerSession
 	leaving  bool
 	serving  bool
 	wait     sync.WaitGroup
@@ -50,7 +50,7 @@
 
 // New returns a server that has no listener yet.
 func New(o Options) *Server {
-	return &Server{o: o, router: newRouter(o.View, o.Peers, o.Clock), sessions: map[uint64]*caller{}}
+	return &Server{o: o, router: newRouter(o.View, o.Peers, o.Clock), sessions: map[uint64]*callerSession{}}
 }
 
 // Serve accepts connections until the listener closes.
@@ -93,7 +93,7 @@
 }
 
 func (s *Server) session(nc net.Conn) {
-	sess := newCaller(s, nc)
+	sess := newCallerSession(s, nc)
 	if err := sess.startUp(); err != nil {
 		s.o.Log.Debug("event=session_refused", "remote", nc.RemoteAddr(), "error", err)
 		return
@@ -104,32 +104,32 @@
 }
 
 // admit registers a session, or returns why it is refused.
-func (s *Server) admit(sess *caller) *result.Error {
+func (s *Server) admit(sess *callerSession) *result.Error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	conf := s.o.View.Config()
 	switch {
 	case conf == nil:
-		return result.New(result.Overloaded, "no configuration is in force yet").After(comeBack)
+		return result.New(result.Overloaded, "no configuration is in force yet").After(defaultRetryAfter)
 	case s.leaving:
-		return result.New(result.Leaving, "%s", s.o.View.Self().ID).After(comeBack)
+		return result.New(result.Leaving, "%s", s.o.View.Self().ID).After(defaultRetryAfter)
 	case len(s.sessions) >= conf.Limits().SessionsPerDaemon:
-		return result.New(result.TooManySessions, "%d", len(s.sessions)).After(comeBack)
+		return result.New(result.TooManySessions, "%d", len(s.sessions)).After(defaultRetryAfter)
 	}
-	if failure := s.loads.takeSession(conf, sess.options.member); failure != nil {
+	if failure := s.limiter.acquireSession(conf, sess.options.member); failure != nil {
 		return failure
 	}
-	sess.admitted = sess.options.member
+	sess.admittedMember = sess.options.member
 	s.sessions[sess.number] = sess
 	return nil
 }
 
-func (s *Server) remove(sess *caller) {
+func (s *Server) remove(sess *callerSession) {
 	sess.releaseTransaction()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.sessions, sess.number)
-	s.loads.sessions.give(sess.admitted)
+	s.limiter.sessions.release(sess.admittedMember)
 }
 
 // Sessions returns the number of open sessions.
--- a/internal/entry/session.go
+++ b/internal/entry/session.go
@@ -28,34 +28,34 @@
 	write  bool
 }
 
-// caller is the session of one caller's connection. mu guards the fields below it;
-// only the session's own goroutine uses the others.
-type caller struct {
-	server   *Server
-	net      net.Conn
-	backend  *pgproto3.Backend
-	number   uint64
-	secret   []byte
-	options  options
-	initial  options // values at start-up, which RESET restores
-	admitted string  // the member that the session counts for
-	prepared preparedTable
-	unit     unit
-	tx       *transaction
-	session  *session.Session
+// callerSession is the session of one caller's connection. mu guards the fields
+// below it; only the session's own goroutine uses the others.
+type callerSession struct {
+	server         *Server
+	net            net.Conn
+	backend        *pgproto3.Backend
+	number         uint64
+	secret         []byte
+	options        options
+	initial        options // values at start-up, which RESET restores
+	admittedMember string  // the member that the session counts for
+	prepared       preparedTable
+	unit           unit
+	tx             *transaction
+	session        *session.Session
 
 	drain drainState
 
-	mu     sync.Mutex
-	idle   bool
-	grace  time.Time // end of an idle session, set when the daemon shuts down
-	flight flight
+	mu            sync.Mutex
+	idle          bool
+	graceEnd      time.Time // end of an idle session, set when the daemon shuts down
+	activeRequest activeRequest
 }
 
-func newCaller(s *Server, nc net.Conn) *caller {
+func newCallerSession(s *Server, nc net.Conn) *callerSession {
 	secret := make([]byte, secretLength)
 	_, _ = rand.Read(secret) // Never fails on Linux.
-	return &caller{
+	return &callerSession{
 		server:  s,
 		net:     nc,
 		backend: pgproto3.NewBackend(nc, nc),
@@ -65,7 +65,7 @@
 }
 
 // run serves requests until the session ends.
-func (s *caller) run() error {
+func (s *callerSession) run() error {
 	s.backend.SetMaxBodyLen(s.server.o.View.Config().Limits().MessageBytes)
 	for {
 		msg, err := s.receive()
@@ -78,14 +78,14 @@
 		if !s.unit.add(s, msg) {
 			continue
 		}
-		s.drain.countUnit(&s.unit)
+		s.drain.markLastUnit(&s.unit)
 		if err := s.serve(); err != nil {
 			return err
 		}
 	}
 }
 
-func (s *caller) endOnReadError(err error) error {
+func (s *callerSession) endOnReadError(err error) error {
 	var tooLarge *pgproto3.ExceededMaxBodyLenErr
 	var timeout net.Error
 	switch {
@@ -102,14 +102,14 @@
 }
 
 // fatal reports the error to the caller and returns it, which ends the session.
-func (s *caller) fatal(e *result.Error) error {
+func (s *callerSession) fatal(e *result.Error) error {
 	s.backend.Send(pgwire.ErrorResponse(e, pgwire.SeverityFatal))
 	_ = s.backend.Flush()
 	return e
 }
 
 // refuse reports the error to the caller. The session continues.
-func (s *caller) refuse(e *result.Error) error {
+func (s *callerSession) refuse(e *result.Error) error {
 	s.backend.Send(pgwire.ErrorResponse(e, pgwire.SeverityError))
 	s.backend.Send(&pgproto3.ReadyForQuery{TxStatus: pgwire.Idle})
 	return s.backend.Flush()
@@ -117,7 +117,7 @@
 
 // setOption changes an option for the requests that follow. A token raises the
 // floors of the session; a session id opens another session.
-func (s *caller) setOption(name, value string) *result.Error {
+func (s *callerSession) setOption(name, value string) *result.Error {
 	before := s.options
 	if failure := s.options.set(name, value); failure != nil {
 		return failure
@@ -145,7 +145,7 @@
 }
 
 // resetOption restores the option's value at start-up.
-func (s *caller) resetOption(name string) *result.Error {
+func (s *callerSession) resetOption(name string) *result.Error {
 	field := s.initial.field(name)
 	if field == nil {
 		return result.New(result.BadOption, "no option %q", optionPrefix+name)
@@ -157,7 +157,7 @@
 }
 
 // openSession opens the session of the options' session id and token.
-func (s *caller) openSession() *result.Error {
+func (s *callerSession) openSession() *result.Error {
 	opened, err := session.Open(s.options.session, s.options.token, s.server.o.Keys)
 	if err != nil {
 		return result.From(err)
--- a/internal/entry/silent.go
+++ b/internal/entry/silent.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// silentAfter is the duration of a hop after which its pooler is asked, on a
+	// silenceTimeout is the duration of a hop after which its pooler is asked, on a
 	// new connection, whether it is executing the request.
-	silentAfter = 750 * time.Millisecond
-	// silentLook is the delay between the two checks: an answer that is in transit
+	silenceTimeout = 750 * time.Millisecond
+	// recheckDelay is the delay between the two checks: an answer that is in transit
 	// at the first check has arrived by the second.
-	silentLook = 100 * time.Millisecond
+	recheckDelay = 100 * time.Millisecond
 	// askTimeout bounds one check.
 	askTimeout = 500 * time.Millisecond
 )
@@ -26,11 +26,11 @@
 // the outcome is unknown instead of at a deadline that may be minutes away. When the
 // pooler does not answer the check, watchHop leaves the hop to the failure detection
 // of the pooler's VM.
-func (s *caller) watchHop(ctx context.Context, pooler topology.VM, msg *peerpb.ExecuteRequest) (context.Context, func()) {
+func (s *callerSession) watchHop(ctx context.Context, pooler topology.VM, msg *peerpb.ExecuteRequest) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(ctx)
-	timer := time.AfterFunc(silentAfter, func() {
+	timer := time.AfterFunc(silenceTimeout, func() {
 		for s.underWay(ctx, pooler, msg) {
-			if !wait.For(ctx, silentAfter) {
+			if !wait.For(ctx, silenceTimeout) {
 				return
 			}
 		}
@@ -49,14 +49,14 @@
 
 // underWay returns false only when the pooler has reported twice that it is not
 // executing the request.
-func (s *caller) underWay(ctx context.Context, pooler topology.VM, msg *peerpb.ExecuteRequest) bool {
-	if s.ask(ctx, pooler, msg) || !wait.For(ctx, silentLook) {
+func (s *callerSession) underWay(ctx context.Context, pooler topology.VM, msg *peerpb.ExecuteRequest) bool {
+	if s.ask(ctx, pooler, msg) || !wait.For(ctx, recheckDelay) {
 		return true
 	}
 	return s.ask(ctx, pooler, msg)
 }
 
-func (s *caller) ask(ctx context.Context, pooler topology.VM, msg *peerpb.ExecuteRequest) bool {
+func (s *callerSession) ask(ctx context.Context, pooler topology.VM, msg *peerpb.ExecuteRequest) bool {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	resp, err := s.server.o.Peers.Get(pooler).Fresh.Cancel(ctx, &peerpb.CancelRequest{
--- a/internal/entry/splice.go
+++ b/internal/entry/splice.go
@@ -19,11 +19,11 @@
 
 // step is one message of a unit and how it is answered.
 type step struct {
-	kind     stepKind
-	injected bool   // added by the entry; its answer is not sent to the caller
-	name     string // of a prepared statement
-	local    *local // statement to be executed by the entry when the unit is served
-	reply    []byte // the entry's own answer
+	kind           stepKind
+	injected       bool            // added by the entry; its answer is not sent to the caller
+	name           string          // of a prepared statement
+	localStatement *localStatement // statement to be executed by the entry when the unit is served
+	reply          []byte          // the entry's own answer
 }
 
 // endedBy reports whether a frame of the type ends the step's answer.
@@ -57,20 +57,20 @@
 // answer to the caller and the number of steps that were answered without an error.
 func (u *unit) splice(messages []byte) ([]byte, int, error) {
 	s := splicer{steps: u.steps, out: make([]byte, 0, len(messages))}
-	s.own()
-	err := pgwire.Split(messages, s.take)
+	s.appendLocal()
+	err := pgwire.Split(messages, s.addFrame)
 	return s.out, s.next, err
 }
 
-// own appends the entry's answers to the local steps that come next.
-func (s *splicer) own() {
+// appendLocal appends the entry's answers to the local steps that come next.
+func (s *splicer) appendLocal() {
 	for s.next < len(s.steps) && s.steps[s.next].kind == stepLocal {
 		s.out = append(s.out, s.steps[s.next].reply...)
 		s.next++
 	}
 }
 
-func (s *splicer) take(f pgwire.Frame) error {
+func (s *splicer) addFrame(f pgwire.Frame) error {
 	if f.Type() == pgwire.TypeError {
 		s.failed = true
 	}
@@ -80,7 +80,7 @@
 	}
 	if done {
 		s.next++
-		s.own()
+		s.appendLocal()
 	}
 	return nil
 }
--- a/internal/entry/startup.go
+++ b/internal/entry/startup.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// comeBack is the delay after which a caller may retry a request that was
-	// refused for a temporary reason.
-	comeBack = time.Second
+	// defaultRetryAfter is the delay after which a caller may retry a request that
+	// was refused for a temporary reason.
+	defaultRetryAfter = time.Second
 	// startUpTimeout bounds the time from accepting a connection to the start of its
 	// session.
 	startUpTimeout = 5 * time.Second
@@ -26,7 +26,7 @@
 var errCancelRequest = errors.New("entry: cancel request")
 
 // startUp handles the start-up message and registers the session.
-func (s *caller) startUp() error {
+func (s *callerSession) startUp() error {
 	_ = s.net.SetDeadline(time.Now().Add(startUpTimeout))
 	startup, err := s.receiveStartUp()
 	if err != nil {
@@ -38,7 +38,7 @@
 	if failure := s.server.admit(s); failure != nil {
 		return s.fatal(failure)
 	}
-	s.greet()
+	s.sendGreeting()
 	if err := s.backend.Flush(); err != nil {
 		s.server.remove(s)
 		return err
@@ -48,7 +48,7 @@
 
 // receiveStartUp returns the start-up message. It refuses encryption and executes
 // cancel requests.
-func (s *caller) receiveStartUp() (*pgproto3.StartupMessage, error) {
+func (s *callerSession) receiveStartUp() (*pgproto3.StartupMessage, error) {
 	for {
 		msg, err := s.backend.ReceiveStartupMessage()
 		if err != nil {
@@ -70,13 +70,13 @@
 	}
 }
 
-func (s *caller) takeParameters(parameters map[string]string) *result.Error {
+func (s *callerSession) takeParameters(parameters map[string]string) *result.Error {
 	for name, value := range parameters {
-		short, ours := strings.CutPrefix(name, optionPrefix)
-		if !ours {
+		option, isOption := strings.CutPrefix(name, optionPrefix)
+		if !isOption {
 			continue
 		}
-		if failure := s.setOption(short, value); failure != nil {
+		if failure := s.setOption(option, value); failure != nil {
 			return failure
 		}
 	}
@@ -93,15 +93,15 @@
 // takeOptions parses the start-up parameter "options" ("-c name=value"), the only way
 // to set start-up parameters from psql. It ignores names without optionPrefix, which
 // are settings of the target.
-func (s *caller) takeOptions(text string) *result.Error {
+func (s *callerSession) takeOptions(text string) *result.Error {
 	for _, word := range strings.Fields(text) {
 		word = strings.TrimLeft(strings.TrimPrefix(word, "-c"), "-")
 		name, value, _ := strings.Cut(word, "=")
-		short, ours := strings.CutPrefix(name, optionPrefix)
-		if !ours {
+		option, isOption := strings.CutPrefix(name, optionPrefix)
+		if !isOption {
 			continue
 		}
-		if failure := s.setOption(short, value); failure != nil {
+		if failure := s.setOption(option, value); failure != nil {
 			return failure
 		}
 	}
@@ -110,7 +110,7 @@
 
 // checkOptions checks that the service exists and is owned by the member. An empty
 // member is set to the service's own.
-func (s *caller) checkOptions() *result.Error {
+func (s *callerSession) checkOptions() *result.Error {
 	conf := s.server.o.View.Config()
 	if conf == nil {
 		return nil
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// greet sends the messages that a client expects after the start-up message.
-func (s *caller) greet() {
+// sendGreeting sends the messages that a client expects after the start-up message.
+func (s *callerSession) sendGreeting() {
 	s.backend.Send(&pgproto3.AuthenticationOk{})
 	for _, p := range [][2]string{
 		{"server_version", "15.0 (buckthornshore)"},
@@ -155,7 +155,7 @@
 	}
 }
 
-func (s *Server) sessionOf(m *pgproto3.CancelRequest) *caller {
+func (s *Server) sessionOf(m *pgproto3.CancelRequest) *callerSession {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, sess := range s.sessions {
--- a/internal/entry/transaction.go
+++ b/internal/entry/transaction.go
@@ -11,7 +11,7 @@
 
 // noteTransaction updates the session's open transaction from the answer to a
 // request.
-func (s *caller) noteTransaction(req *request, d destination, resp *peerpb.ExecuteResponse) {
+func (s *callerSession) noteTransaction(req *request, d destination, resp *peerpb.ExecuteResponse) {
 	status := byte(resp.TxStatus)
 	if status == pgwire.Idle {
 		s.tx = nil
@@ -38,7 +38,7 @@
 
 // releaseTransaction releases the target's connection that an unfinished
 // transaction of the session holds.
-func (s *caller) releaseTransaction() {
+func (s *callerSession) releaseTransaction() {
 	if s.tx == nil {
 		return
 	}
--- a/internal/entry/unit.go
+++ b/internal/entry/unit.go
@@ -12,13 +12,13 @@
 // unit collects a caller's messages up to a Query or a Sync. They are sent to a
 // target and answered together.
 type unit struct {
-	messages []byte // encoded messages for the target
-	steps    []step // one for each message, for the target or the entry itself
-	current  string // name of the prepared statement in the target's unnamed statement
-	holds    bool   // reports whether the target's unnamed statement is set
-	portals  map[string]*local
-	// runs is set when the messages execute a statement at the target.
-	runs bool
+	messages   []byte // encoded messages for the target
+	steps      []step // one for each message, for the target or the entry itself
+	unnamed    string // name of the prepared statement in the target's unnamed statement
+	unnamedSet bool   // whether the target's unnamed statement is set
+	portals    map[string]*localStatement
+	// executes is set when the messages execute a statement at the target.
+	executes bool
 	// spliced is set when the target's answer has to be merged with the entry's own.
 	spliced bool
 	// failure is the first error. Messages after it are ignored up to the Sync.
@@ -35,7 +35,7 @@
 // the targets' connections, so a statement that was prepared on one connection would
 // be missing on the next, or be that of another session. A unit that uses a
 // statement sends its text again.
-func (u *unit) add(s *caller, msg pgproto3.FrontendMessage) (whole bool) {
+func (u *unit) add(s *callerSession, msg pgproto3.FrontendMessage) (complete bool) {
 	if _, ok := msg.(*pgproto3.Sync); ok {
 		return u.sync()
 	}
@@ -85,8 +85,8 @@
 
 func (u *unit) refuse(e *result.Error) { u.fail(pgwire.ErrorResponse(e, pgwire.SeverityError)) }
 
-// remote adds a message that is sent to the target.
-func (u *unit) remote(st step, m pgproto3.FrontendMessage) {
+// addRemote adds a message that is sent to the target.
+func (u *unit) addRemote(st step, m pgproto3.FrontendMessage) {
 	out, err := m.Encode(u.messages)
 	if err != nil {
 		u.refuse(result.New(result.BadProtocol, "%v", err))
@@ -95,13 +95,13 @@
 	u.messages = out
 	u.steps = append(u.steps, st)
 	u.spliced = u.spliced || st.injected || st.kind == stepParse && st.name != ""
-	u.runs = u.runs || st.kind == stepExecute || st.kind == stepQuery
+	u.executes = u.executes || st.kind == stepExecute || st.kind == stepQuery
 }
 
-// own adds a message that the entry answers itself.
-func (u *unit) own(st step) {
+// addLocal adds a message that the entry answers itself.
+func (u *unit) addLocal(st step) {
 	st.kind = stepLocal
-	if st.local != nil && u.runs {
+	if st.localStatement != nil && u.executes {
 		u.refuse(result.New(result.BadOption, "statements of %s* come before the others of their batch", optionPrefix))
 		return
 	}
@@ -118,67 +118,67 @@
 		if !ok {
 			break
 		}
-		st := step{local: &l}
-		if l.hasRow() {
+		st := step{localStatement: &l}
+		if l.returnsRow() {
 			st.reply = encode(nil, l.description())
 		}
-		u.own(st)
+		u.addLocal(st)
 		rest = after
 	}
 	if rest == "" && len(u.steps) > 0 {
 		return
 	}
-	if failure := checkPassedOn(rest); failure != nil {
+	if failure := checkForwardedSQL(rest); failure != nil {
 		u.refuse(failure)
 		return
 	}
-	u.remote(step{kind: stepQuery}, &pgproto3.Query{String: rest})
+	u.addRemote(step{kind: stepQuery}, &pgproto3.Query{String: rest})
 }
 
-func (u *unit) addParse(s *caller, m *pgproto3.Parse) {
+func (u *unit) addParse(s *callerSession, m *pgproto3.Parse) {
 	if m.Name != "" && s.prepared.get(m.Name) != nil {
 		u.fail(statementError(stateDuplicateStatement, "prepared statement %q already exists", m.Name))
 		return
 	}
-	kept := &preparedStatement{Parse: pgproto3.Parse{Query: m.Query, ParameterOIDs: append([]uint32(nil), m.ParameterOIDs...)}}
+	statement := &preparedStatement{Parse: pgproto3.Parse{Query: m.Query, ParameterOIDs: append([]uint32(nil), m.ParameterOIDs...)}}
 	l, rest, ok := parseLocal(m.Query)
 	if ok && rest != "" {
 		u.refuse(result.New(result.BadOption, "one statement at a time can be prepared"))
 		return
 	}
 	if ok {
-		kept.local = &l
-	} else if failure := checkPassedOn(m.Query); failure != nil {
+		statement.localStatement = &l
+	} else if failure := checkForwardedSQL(m.Query); failure != nil {
 		u.refuse(failure)
 		return
 	}
-	if failure := s.prepared.put(m.Name, kept); failure != nil {
+	if failure := s.prepared.put(m.Name, statement); failure != nil {
 		u.refuse(failure)
 		return
 	}
 	if ok {
-		u.own(step{reply: encode(nil, &pgproto3.ParseComplete{})})
+		u.addLocal(step{reply: encode(nil, &pgproto3.ParseComplete{})})
 		return
 	}
-	u.sendParse(m.Name, kept, false)
+	u.sendParse(m.Name, statement, false)
 }
 
 func (u *unit) sendParse(name string, p *preparedStatement, injected bool) {
-	u.current, u.holds = name, true
-	u.remote(step{kind: stepParse, injected: injected, name: name}, &p.Parse)
+	u.unnamed, u.unnamedSet = name, true
+	u.addRemote(step{kind: stepParse, injected: injected, name: name}, &p.Parse)
 }
 
-// ensure adds a Parse of the prepared statement, unless it is the target's unnamed
-// statement already.
-func (u *unit) ensure(name string, p *preparedStatement) {
-	if !u.holds || u.current != name {
+// ensureParsed adds a Parse of the prepared statement, unless it is the target's
+// unnamed statement already.
+func (u *unit) ensureParsed(name string, p *preparedStatement) {
+	if !u.unnamedSet || u.unnamed != name {
 		u.sendParse(name, p, true)
 	}
 }
 
-// find returns the prepared statement of the name. If there is none, it fails the
-// unit and returns nil.
-func (u *unit) find(s *caller, name string) *preparedStatement {
+// findStatement returns the prepared statement of the name. If there is none, it
+// fails the unit and returns nil.
+func (u *unit) findStatement(s *callerSession, name string) *preparedStatement {
 	p := s.prepared.get(name)
 	if p == nil {
 		u.fail(statementError(stateNoStatement, "prepared statement %q does not exist", name))
@@ -186,70 +186,70 @@
 	return p
 }
 
-func (u *unit) addBind(s *caller, m *pgproto3.Bind) {
-	p := u.find(s, m.PreparedStatement)
+func (u *unit) addBind(s *callerSession, m *pgproto3.Bind) {
+	p := u.findStatement(s, m.PreparedStatement)
 	if p == nil {
 		return
 	}
-	if p.local != nil {
+	if p.localStatement != nil {
 		if u.portals == nil {
-			u.portals = map[string]*local{}
+			u.portals = map[string]*localStatement{}
 		}
-		u.portals[m.DestinationPortal] = p.local
-		u.own(step{reply: encode(nil, &pgproto3.BindComplete{})})
+		u.portals[m.DestinationPortal] = p.localStatement
+		u.addLocal(step{reply: encode(nil, &pgproto3.BindComplete{})})
 		return
 	}
 	delete(u.portals, m.DestinationPortal)
-	u.ensure(m.PreparedStatement, p)
+	u.ensureParsed(m.PreparedStatement, p)
 	b := *m
 	b.PreparedStatement = ""
-	u.remote(step{kind: stepBind}, &b)
+	u.addRemote(step{kind: stepBind}, &b)
 }
 
 // objectStatement is the object type of a prepared statement in Describe and Close.
 const objectStatement = 'S'
 
-func (u *unit) addDescribe(s *caller, m *pgproto3.Describe) {
+func (u *unit) addDescribe(s *callerSession, m *pgproto3.Describe) {
 	if m.ObjectType != objectStatement {
 		if l := u.portals[m.Name]; l != nil {
-			u.own(step{reply: encode(nil, l.description())})
+			u.addLocal(step{reply: encode(nil, l.description())})
 			return
 		}
-		u.remote(step{kind: stepDescribe}, m)
+		u.addRemote(step{kind: stepDescribe}, m)
 		return
 	}
-	p := u.find(s, m.Name)
+	p := u.findStatement(s, m.Name)
 	if p == nil {
 		return
 	}
-	if p.local != nil {
-		u.own(step{reply: encode(encode(nil, &pgproto3.ParameterDescription{}), p.local.description())})
+	if p.localStatement != nil {
+		u.addLocal(step{reply: encode(encode(nil, &pgproto3.ParameterDescription{}), p.localStatement.description())})
 		return
 	}
-	u.ensure(m.Name, p)
-	u.remote(step{kind: stepDescribe}, &pgproto3.Describe{ObjectType: objectStatement})
+	u.ensureParsed(m.Name, p)
+	u.addRemote(step{kind: stepDescribe}, &pgproto3.Describe{ObjectType: objectStatement})
 }
 
 func (u *unit) addExecute(m *pgproto3.Execute) {
 	if l := u.portals[m.Portal]; l != nil {
-		u.own(step{local: l})
+		u.addLocal(step{localStatement: l})
 		return
 	}
-	u.remote(step{kind: stepExecute}, m)
+	u.addRemote(step{kind: stepExecute}, m)
 }
 
-func (u *unit) addClose(s *caller, m *pgproto3.Close) {
+func (u *unit) addClose(s *callerSession, m *pgproto3.Close) {
 	if m.ObjectType != objectStatement {
 		if u.portals[m.Name] == nil {
-			u.remote(step{kind: stepClose}, m)
+			u.addRemote(step{kind: stepClose}, m)
 			return
 		}
 		delete(u.portals, m.Name)
 	} else {
 		s.prepared.remove(m.Name)
-		u.holds = u.holds && u.current != m.Name
+		u.unnamedSet = u.unnamedSet && u.unnamed != m.Name
 	}
-	u.own(step{reply: encode(nil, &pgproto3.CloseComplete{})})
+	u.addLocal(step{reply: encode(nil, &pgproto3.CloseComplete{})})
 }
 
 // SQLSTATE codes of PostgreSQL's errors about prepared statements.
