--- a/internal/entry/history_test.go
+++ b/internal/entry/history_test.go
@@ -33,11 +33,11 @@
 	Expect(err).NotTo(HaveOccurred())
 }
 
-var _ = Describe("An answer of a later term", func() {
+var _ = Describe("An answer from a later term than the row", func() {
 	// Guards against a read that misses a lost write of its session without an error.
 	// The target was promoted and answers before the entry has received the group's
 	// new row.
-	It("waits for the row that tells what was lost", func() {
+	It("waits for the newer row and reports the lost write", func() {
 		v := view.New(topology.VM{ID: "vm-1", DataCentre: "a", Incarnation: 1}, mono.System{})
 		before := &topology.Group{ID: "s/g", Version: 1, Term: 1, Primary: "t1"}
 		applyRow(v, before)
@@ -56,7 +56,7 @@
 		Expect(failure).NotTo(BeNil())
 		Expect(failure.Code).To(Equal(result.WriteLost))
 		got, failure := s.accept(context.Background(), req, before, answer)
-		Expect(failure).To(BeNil(), "a loss is reported once")
+		Expect(failure).To(BeNil(), "a lost write is reported once")
 		Expect(got).To(BeIdenticalTo(answer))
 	})
 })
--- a/internal/entry/crossed_test.go
+++ b/internal/entry/late_answer_test.go
@@ -36,11 +36,11 @@
 	return answer, nil
 }
 
-var _ = Describe("An answer that crossed", func() {
+var _ = Describe("A late answer to an earlier request", func() {
 	// Guards against a caller receiving the rows of another. An answer that arrives
 	// late on the connection between entry and pooler is read as the answer to the
 	// next request. It has another hop id, so the entry must discard it.
-	It("reaches nobody else", func() {
+	It("is discarded by its hop id", func() {
 		pooler := httptest.NewServer(peerpb.NewPoolerServer(&lateAnswers{}))
 		defer pooler.Close()
 		v := view.New(topology.VM{ID: "vm-1", DataCentre: "a", Incarnation: 1}, mono.System{})
