--- a/internal/entry/cancel.go
+++ b/internal/entry/cancel.go
@@ -13,59 +13,61 @@
 const (
 	// cancelTimeout bounds the delivery of a cancel request.
 	cancelTimeout = 2 * time.Second
-	// cancelRetry is how soon a pooler that does not know the request yet is
-	// told again: the cancel may have overtaken it.
+	// cancelRetry is the delay before a cancel request is repeated at a pooler
+	// that has not received the request yet: the cancel may have overtaken it.
 	cancelRetry = 10 * time.Millisecond
 )
 
-// flight is the request that a session has under way.
-type flight struct {
-	stop      context.CancelFunc // ends its waits; nil: no request is under way
-	hop       *hop               // nil between attempts
-	cancelled bool
+// activeRequest is the request that a session is executing.
+type activeRequest struct {
+	cancelWaits context.CancelFunc // ends the request's waits; nil when there is no request
+	hop         *hop               // nil between attempts
+	cancelled   bool
 }
 
-// hop is an attempt as its pooler knows it.
+// hop is one attempt of a request at a pooler.
 type hop struct {
 	pooler topology.VM
 	cancel *peerpb.CancelRequest
 }
 
-// beginFlight makes the request known to cancel requests.
-func (s *caller) beginFlight(stop context.CancelFunc) {
+// beginRequest registers the request, so that cancel requests find it.
+func (s *callerSession) beginRequest(cancelWaits context.CancelFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.flight = flight{stop: stop}
+	s.activeRequest = activeRequest{cancelWaits: cancelWaits}
 }
 
-func (s *caller) endFlight() {
+func (s *callerSession) endRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.flight = flight{}
+	s.activeRequest = activeRequest{}
 }
 
-// beginHop notes the attempt; false when the request was cancelled before.
-func (s *caller) beginHop(pooler topology.VM, msg *peerpb.ExecuteRequest) bool {
+// beginHop registers the attempt. It returns false when the request has been
+// cancelled already.
+func (s *callerSession) beginHop(pooler topology.VM, msg *peerpb.ExecuteRequest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.flight.hop = &hop{pooler: pooler, cancel: &peerpb.CancelRequest{
+	s.activeRequest.hop = &hop{pooler: pooler, cancel: &peerpb.CancelRequest{
 		Entry:            msg.Entry,
 		EntryIncarnation: msg.EntryIncarnation,
 		Target:           msg.Target,
 		HopId:            msg.HopId,
 	}}
-	return !s.flight.cancelled
+	return !s.activeRequest.cancelled
 }
 
-func (s *caller) endHop() {
+func (s *callerSession) endHop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.flight.hop = nil
+	s.activeRequest.hop = nil
 }
 
-// cancelRequest ends the request under way, if any. At a pooler the statement is
-// cancelled at its target; the answer then tells what became of it.
-func (s *caller) cancelRequest() {
+// cancelRequest cancels the request in progress, if any. When the request is at a
+// pooler, the pooler cancels the statement at its target, and the answer reports
+// whether it has run.
+func (s *callerSession) cancelRequest() {
 	ctx, done := context.WithTimeout(context.Background(), cancelTimeout)
 	defer done()
 	first := s.markCancelled()
@@ -77,33 +79,33 @@
 	}
 }
 
-// markCancelled returns the attempt under way. Without one the request waits at
-// this entry, and its waits end.
-func (s *caller) markCancelled() *hop {
+// markCancelled returns the attempt in progress. Between attempts it returns nil
+// and ends the request's waits at this entry.
+func (s *callerSession) markCancelled() *hop {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.flight.stop == nil {
+	if s.activeRequest.cancelWaits == nil {
 		return nil
 	}
-	s.flight.cancelled = true
-	if s.flight.hop == nil {
-		s.flight.stop()
+	s.activeRequest.cancelled = true
+	if s.activeRequest.hop == nil {
+		s.activeRequest.cancelWaits()
 	}
-	return s.flight.hop
+	return s.activeRequest.hop
 }
 
-func (s *caller) currentHop() *hop {
+func (s *callerSession) currentHop() *hop {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.flight.hop
+	return s.activeRequest.hop
 }
 
-// cancelled says that a request which the caller cancelled has not run; nil when
-// it was not cancelled or may have run.
-func (s *caller) cancelled(failure *result.Error) *result.Error {
+// cancelled returns the Cancelled result of a request that was cancelled before
+// it ran, or nil when the request was not cancelled or may have run.
+func (s *callerSession) cancelled(failure *result.Error) *result.Error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.flight.cancelled || failure.Ran != result.NotRun {
+	if !s.activeRequest.cancelled || failure.Ran != result.NotRun {
 		return nil
 	}
 	e := result.New(result.Cancelled, "it has not run")
--- a/internal/entry/drain.go
+++ b/internal/entry/drain.go
@@ -11,33 +11,38 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// leavingParameter tells a session that its daemon leaves: its next request is
-// still served, and the connection ends after that answer.
+// leavingParameter is the parameter status that announces to a session that its
+// daemon is shutting down: the daemon still serves the session's next request and
+// closes the connection after that answer.
 const leavingParameter = optionPrefix + "leaving"
 
-// lingerTime is how long a connection that was ended is still read from.
+// lingerTime bounds how long a connection is read from after its sending side
+// was closed.
 const lingerTime = time.Second
 
-// drainState is what a session's own goroutine knows of its end.
+// drainState is the state of a session while its daemon shuts down. Only the
+// session's own goroutine uses it.
 type drainState struct {
-	told   bool // the caller was told that the daemon leaves
-	served bool // and has had a request served since
+	announced bool // the shutdown was announced to the caller
+	served    bool // a request was served since the announcement
 }
 
-// countUnit notes that the unit about to be served is the last one. One that
-// only prepares a statement does not count: its caller is about to run it.
-func (d *drainState) countUnit(u *unit) {
-	if d.told && u.runs {
+// markLastUnit records that the unit about to be served is the session's last one.
+// A unit that only prepares a statement does not count, since the caller will
+// execute the statement next.
+func (d *drainState) markLastUnit(u *unit) {
+	if d.announced && u.executes {
 		d.served = true
 	}
 }
 
-// Leave refuses new sessions and asks the open ones to go: a session that stays
-// idle is ended at grace. It returns at once and may be called again.
+// Leave refuses new sessions and announces the shutdown to the open ones. A
+// session that stays idle is ended at the time grace. Leave returns at once and
+// may be called again.
 func (s *Server) Leave(grace time.Time) {
 	s.mu.Lock()
 	s.leaving = true
-	open := make([]*caller, 0, len(s.sessions))
+	open := make([]*callerSession, 0, len(s.sessions))
 	for _, sess := range s.sessions {
 		open = append(open, sess)
 	}
@@ -47,40 +52,43 @@
 	}
 }
 
-// leave wakes the session between requests.
-func (s *caller) leave(grace time.Time) {
+// leave sets the time at which the session ends and, if the session is idle,
+// interrupts its wait for the next request.
+func (s *callerSession) leave(graceEnd time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.grace.IsZero() {
+	if !s.graceEnd.IsZero() {
 		return
 	}
-	s.grace = grace
+	s.graceEnd = graceEnd
 	if s.idle {
 		_ = s.net.SetReadDeadline(time.Now())
 	}
 }
 
-// leavingAt returns when an idle session ends; the zero time: not at all.
-func (s *caller) leavingAt() time.Time {
+// leavingAt returns the time at which an idle session is ended, or the zero time
+// while the daemon is not shutting down.
+func (s *callerSession) leavingAt() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.grace
+	return s.graceEnd
 }
 
-// setIdle returns the session's grace, noting first whether it is idle.
-func (s *caller) setIdle(idle bool) time.Time {
+// setIdle records whether the session is idle and returns the time at which an
+// idle session is ended, as leavingAt does.
+func (s *callerSession) setIdle(idle bool) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.idle = idle
-	return s.grace
+	return s.graceEnd
 }
 
-// errLeaving ends a session of a daemon that leaves.
-var errLeaving = errors.New("entry: leaving")
+// errLeaving ends a session of a daemon that is shutting down.
+var errLeaving = errors.New("entry: daemon is leaving")
 
-// receive waits for a message. A daemon that leaves interrupts it only between
-// requests and outside transactions; a message that has come in part is kept.
-func (s *caller) receive() (pgproto3.FrontendMessage, error) {
+// receive waits for the next message. A shutdown interrupts it only between
+// requests and outside transactions; a partly received message is kept.
+func (s *callerSession) receive() (pgproto3.FrontendMessage, error) {
 	for {
 		if err := s.beforeReceive(); err != nil {
 			return nil, err
@@ -96,8 +104,9 @@
 	}
 }
 
-// beforeReceive tells a session that may end of the leaving, or ends it.
-func (s *caller) beforeReceive() error {
+// beforeReceive announces a shutdown to an idle session, or returns errLeaving when
+// the session has to end.
+func (s *callerSession) beforeReceive() error {
 	if s.tx != nil || !s.unit.empty() {
 		return nil
 	}
@@ -105,31 +114,31 @@
 	if grace.IsZero() {
 		return nil
 	}
-	if s.drain.served || s.drain.told && !time.Now().Before(grace) {
+	if s.drain.served || s.drain.announced && !time.Now().Before(grace) {
 		return errLeaving
 	}
-	if err := s.tellLeaving(); err != nil {
+	if err := s.announceLeaving(); err != nil {
 		return err
 	}
 	return s.net.SetReadDeadline(grace)
 }
 
-func (s *caller) tellLeaving() error {
-	if s.drain.told {
+func (s *callerSession) announceLeaving() error {
+	if s.drain.announced {
 		return nil
 	}
-	s.drain.told = true
+	s.drain.announced = true
 	s.backend.Send(&pgproto3.ParameterStatus{Name: leavingParameter, Value: "on"})
 	return s.backend.Flush()
 }
 
-// endLeaving ends the connection in order. Failure: the caller has just sent a
-// request; closing with it unread resets the connection, and the caller may lose
-// the answer before it or the refusal that says "not run". So only the sending
-// side is closed, and the rest read for a moment.
-func (s *caller) endLeaving() error {
+// endLeaving reports the shutdown to the caller and ends the connection. Closing a
+// connection with unread data resets it. If the caller has just sent a request, it
+// may then lose the previous answer, or the error that reports the request as not
+// run. So endLeaving closes only the sending side and reads on for lingerTime.
+func (s *callerSession) endLeaving() error {
 	_ = s.net.SetDeadline(time.Now().Add(lingerTime))
-	failure := s.fatal(result.New(result.Leaving, "%s", s.server.o.View.Self().ID).After(comeBack))
+	failure := s.fatal(result.New(result.Leaving, "%s", s.server.o.View.Self().ID).After(defaultRetryAfter))
 	if half, ok := s.net.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
 		_, _ = io.Copy(io.Discard, s.net)
 	}
--- a/internal/entry/crossed_test.go
+++ b/internal/entry/late_answer_test.go
@@ -19,8 +19,8 @@
 	"github.com/buckthornshore/buckthornshore/rpc/peerpb"
 )
 
-// lateAnswers is a pooler that answers each request but the first with the answer
-// to the one before.
+// lateAnswers is a pooler that answers every request after the first with the answer
+// to the previous request.
 type lateAnswers struct {
 	peerpb.Pooler
 	before *peerpb.ExecuteResponse
@@ -36,11 +36,11 @@
 	return answer, nil
 }
 
-var _ = Describe("An answer that crossed", func() {
-	// The second caller sees a failure and never the first one's rows. Between
-	// entry and pooler an answer comes late and is taken for the next request's;
-	// its hop id is another's, so it is dropped.
-	It("reaches nobody else", func() {
+var _ = Describe("A late answer to an earlier request", func() {
+	// Guards against a caller receiving the rows of another. An answer that arrives
+	// late on the connection between entry and pooler is read as the answer to the
+	// next request. It has another hop id, so the entry must discard it.
+	It("is discarded by its hop id", func() {
 		pooler := httptest.NewServer(peerpb.NewPoolerServer(&lateAnswers{}))
 		defer pooler.Close()
 		v := view.New(topology.VM{ID: "vm-1", DataCentre: "a", Incarnation: 1}, mono.System{})
@@ -51,7 +51,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		ask := func(who string) (*peerpb.ExecuteResponse, *result.Error) {
-			s := &caller{server: server, session: &session.Session{}, options: options{session: who}}
+			s := &callerSession{server: server, session: &session.Session{}, options: options{session: who}}
 			return s.hop(ctx, req, d, false)
 		}
 		got, failure := ask("first")
--- a/internal/entry/local.go
+++ b/internal/entry/local.go
@@ -10,7 +10,7 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// localKind is what a statement asks of the entry itself.
+// localKind is the kind of a statement that the entry answers itself.
 type localKind int
 
 const (
@@ -20,18 +20,18 @@
 	localOutcome
 )
 
-// local is a statement that the entry answers itself.
-type local struct {
+// localStatement is a statement that the entry answers itself.
+type localStatement struct {
 	kind  localKind
-	name  string // of the option, without its prefix
-	value string // of a SET; the request id of an outcome
+	name  string // of the option without its prefix, or of the function
+	value string // new value of a SET, or the request id of an outcome query
 }
 
-// value is a quoted or a bare one.
+// valuePattern matches a quoted or a bare value.
 const valuePattern = `('(?:[^']|'')*'|[^\s;']+)`
 
-// The statements of ours, matched literally at the start of the text: all other
-// SQL passes through unread.
+// localPatterns match the statements that the entry answers itself, at the start of
+// the text. All other SQL is forwarded without being parsed.
 var localPatterns = []struct {
 	kind    localKind
 	pattern *regexp.Regexp
@@ -46,24 +46,24 @@
 	return regexp.MustCompile(`(?is)^\s*` + statement + `\s*(?:;\s*|$)`)
 }
 
-// parseLocal reads a statement of ours from the start of sql; rest is what
-// follows it.
-func parseLocal(sql string) (l local, rest string, ok bool) {
+// parseLocal parses a statement that the entry answers itself from the start of sql.
+// rest is the text after it.
+func parseLocal(sql string) (l localStatement, rest string, ok bool) {
 	if !mentionsOptions(sql) {
-		return local{}, sql, false
+		return localStatement{}, sql, false
 	}
 	for _, p := range localPatterns {
 		m := p.pattern.FindStringSubmatch(sql)
 		if m == nil {
 			continue
 		}
-		l = local{kind: p.kind, name: strings.ToLower(m[1])}
+		l = localStatement{kind: p.kind, name: strings.ToLower(m[1])}
 		if len(m) > 2 {
 			l.value = unquote(m[2])
 		}
 		return l, sql[len(m[0]):], true
 	}
-	return local{}, sql, false
+	return localStatement{}, sql, false
 }
 
 func unquote(value string) string {
@@ -73,37 +73,39 @@
 	return value
 }
 
-// mentionsOptions is a quick look that most statements fail.
+// mentionsOptions reports whether sql contains the option prefix in any case. It is
+// a cheap check that spares most statements the regular expressions.
 func mentionsOptions(sql string) bool {
-	const word = len(optionPrefix)
-	for i := 0; i+word <= len(sql); i++ {
-		if sql[i]|lowerCase == optionPrefix[0] && strings.EqualFold(sql[i:i+word], optionPrefix) {
+	const prefixLen = len(optionPrefix)
+	for i := 0; i+prefixLen <= len(sql); i++ {
+		if sql[i]|asciiLowerCaseBit == optionPrefix[0] && strings.EqualFold(sql[i:i+prefixLen], optionPrefix) {
 			return true
 		}
 	}
 	return false
 }
 
-// lowerCase is the bit by which ASCII letters differ from their capitals.
-const lowerCase = 0x20
+// asciiLowerCaseBit is the bit that is set in lower-case ASCII letters only.
+const asciiLowerCaseBit = 0x20
 
-// guarded matches what would change the settings by which a pooler binds its
-// connection to a term and to the replicas that a commit waits for.
-var guarded = regexp.MustCompile(`(?is)\b(?:set|reset|set_config)\b[^;]*buckthornshore\.`)
+// protectedSettings matches statements that would change the settings by which a
+// pooler binds its connection to a term and to the replicas that a commit waits for.
+var protectedSettings = regexp.MustCompile(`(?is)\b(?:set|reset|set_config)\b[^;]*buckthornshore\.`)
 
-// checkPassedOn refuses statements that the entry would have to answer itself
-// but can't, because they do not come first: a target would take them for its own.
-func checkPassedOn(sql string) *result.Error {
-	if mentionsOptions(sql) && guarded.MatchString(sql) {
+// checkForwardedSQL refuses SQL that would reach a target with a statement that only
+// the entry may answer, because that statement does not come first or is written in
+// another form. The target would execute it as its own.
+func checkForwardedSQL(sql string) *result.Error {
+	if mentionsOptions(sql) && protectedSettings.MatchString(sql) {
 		return result.New(result.BadOption, "SET, RESET, SHOW and outcome of %s* are written plainly and come first", optionPrefix)
 	}
 	return nil
 }
 
-// hasRow tells statements that return one row with one column.
-func (l *local) hasRow() bool { return l.kind == localShow || l.kind == localOutcome }
+// returnsRow reports whether the statement returns one row with one column.
+func (l *localStatement) returnsRow() bool { return l.kind == localShow || l.kind == localOutcome }
 
-func (l *local) tag() string {
+func (l *localStatement) tag() string {
 	switch l.kind {
 	case localSet:
 		return "SET"
@@ -117,8 +119,8 @@
 }
 
 // description is the statement's RowDescription, or NoData.
-func (l *local) description() pgproto3.BackendMessage {
-	if !l.hasRow() {
+func (l *localStatement) description() pgproto3.BackendMessage {
+	if !l.returnsRow() {
 		return &pgproto3.NoData{}
 	}
 	name := l.name
@@ -130,21 +132,21 @@
 	}}
 }
 
-// runLocal carries the statement out and returns its DataRow, if any, and its
+// runLocal executes the statement and returns its encoded DataRow, if any, and
 // CommandComplete.
-func (s *caller) runLocal(l *local) ([]byte, *result.Error) {
+func (s *callerSession) runLocal(l *localStatement) ([]byte, *result.Error) {
 	value, failure := s.evaluate(l)
 	if failure != nil {
 		return nil, failure
 	}
 	var out []byte
-	if l.hasRow() {
+	if l.returnsRow() {
 		out = encode(out, &pgproto3.DataRow{Values: [][]byte{[]byte(value)}})
 	}
 	return encode(out, &pgproto3.CommandComplete{CommandTag: []byte(l.tag())}), nil
 }
 
-func (s *caller) evaluate(l *local) (string, *result.Error) {
+func (s *callerSession) evaluate(l *localStatement) (string, *result.Error) {
 	switch l.kind {
 	case localSet:
 		return "", s.setOption(l.name, l.value)
@@ -162,7 +164,8 @@
 	return "", result.New(result.Internal, "local statement %d", l.kind)
 }
 
-// encode appends a message; those of the entry itself always encode.
+// encode appends an encoded message to out. The entry's own messages never fail to
+// encode, so an error leaves out unchanged.
 func encode(out []byte, m pgproto3.BackendMessage) []byte {
 	grown, err := m.Encode(out)
 	if err != nil {
--- a/internal/entry/measure.go
+++ b/internal/entry/measure.go
@@ -7,9 +7,10 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// measure records an answered request. Only names that the configuration holds
-// become tags; req is nil when the request named none.
-func (s *caller) measure(req *request, begun time.Time, failure *result.Error) {
+// recordRequest records the metrics of an answered request. Only class names from the
+// configuration become tags; req is nil when the unit was refused before a
+// request was made of it.
+func (s *callerSession) recordRequest(req *request, begun time.Time, failure *result.Error) {
 	class := ""
 	if req != nil {
 		class = req.class.Name
@@ -17,8 +18,8 @@
 	s.server.o.Metrics.Request(s.options.member, class, failure, time.Since(begun))
 }
 
-// measureServed records the role of the target that answered a read.
-func (s *caller) measureServed(req *request, d destination) {
+// recordReadServed records the role of the target that answered a read.
+func (s *callerSession) recordReadServed(req *request, d destination) {
 	if req.class.Kind != config.Read {
 		return
 	}
--- a/internal/entry/outcome.go
+++ b/internal/entry/outcome.go
@@ -18,19 +18,21 @@
 	outcomeNotRun = "not run"
 )
 
-// claimedBy marks the ledger row of a request that was asked for before it ran.
-// No class has this name.
-const claimedBy = "!not run"
+// notRunMarker is the value of a ledger row that an outcome query inserted before the
+// request ran. No class has this name.
+const notRunMarker = "!not run"
 
-// askedTable gets a row with each question. The question is a write of its own,
-// so its acknowledgement waits as the class wants it: the replicas that hold it
-// hold all before it too, and neither answer can be undone by a failover.
-const askedTable = "buckthornshore_asked"
+// outcomeQueryTable gets a row with each outcome query. This makes every query a
+// write, whose acknowledgement waits for replicas as the class demands. Replicas
+// that hold this write hold all earlier writes too, so a failover cannot revert
+// either answer.
+const outcomeQueryTable = "buckthornshore_asked"
 
-// outcome tells for good whether the request has run. It claims the id in the
-// ledger: the request, were it still under way somewhere, would find its row
-// taken and fail as a whole, so "not run" stays true.
-func (s *caller) outcome(id string) (string, *result.Error) {
+// outcome returns whether the request has run. The answer is final: the query
+// inserts the id into the ledger if it is missing there, so a request that is still
+// in progress elsewhere conflicts with that row and fails as a whole, and "not run"
+// stays true.
+func (s *callerSession) outcome(id string) (string, *result.Error) {
 	if s.tx != nil {
 		return "", result.New(result.BadOption, "outcome is not asked for within a transaction")
 	}
@@ -40,14 +42,14 @@
 	}
 	begun := time.Now()
 	resp, failure := s.routeWithinLimits(req)
-	s.measure(req, begun, failure)
+	s.recordRequest(req, begun, failure)
 	if failure != nil {
 		return "", failure
 	}
 	return readOutcome(resp.Messages)
 }
 
-func (s *caller) newOutcomeRequest(id string) (*request, *result.Error) {
+func (s *callerSession) newOutcomeRequest(id string) (*request, *result.Error) {
 	conf := s.server.o.View.Config()
 	class, ok := conf.Class(s.options.service, s.options.class)
 	if !ok || class.Kind != config.Write {
@@ -67,8 +69,8 @@
 
 func outcomeSQL(id string) string {
 	key := "'" + strings.ReplaceAll(id, "'", "''") + "'"
-	return "INSERT INTO " + pooler.LedgerTable + " (k, v) VALUES (" + key + ", '" + claimedBy + "') ON CONFLICT (k) DO NOTHING; " +
-		"INSERT INTO " + askedTable + " (k, v) VALUES (" + key + ", '') ON CONFLICT (k) DO UPDATE SET v = excluded.v; " +
+	return "INSERT INTO " + pooler.LedgerTable + " (k, v) VALUES (" + key + ", '" + notRunMarker + "') ON CONFLICT (k) DO NOTHING; " +
+		"INSERT INTO " + outcomeQueryTable + " (k, v) VALUES (" + key + ", '') ON CONFLICT (k) DO UPDATE SET v = excluded.v; " +
 		"SELECT v FROM " + pooler.LedgerTable + " WHERE k = " + key
 }
 
@@ -85,7 +87,7 @@
 				return err
 			}
 			answer = outcomeRun
-			if len(row.Values) == 1 && string(row.Values[0]) == claimedBy {
+			if len(row.Values) == 1 && string(row.Values[0]) == notRunMarker {
 				answer = outcomeNotRun
 			}
 		}
--- a/internal/entry/router.go
+++ b/internal/entry/router.go
@@ -18,28 +18,29 @@
 )
 
 const (
-	// keptAge is the greatest staleness that can be shown; ageResolution is how
-	// much worse than exact a shown age may be. Together they bound the samples
-	// of a group at about 250, 8 KB.
-	keptAge       = 2 * time.Minute
-	ageResolution = 2 * time.Second
-	// suspectFor is how long reads avoid a target after a failure.
-	suspectFor = time.Second
-	// weight of a new measurement in the averages, as one part of so many.
-	averageParts = 8
-	// firstLatency is assumed of a target that has not answered yet.
-	firstLatency = 2 * time.Millisecond
+	// sampleRetention is the greatest staleness that can be proved, and
+	// ageResolution the greatest error of a proved staleness. Together they bound
+	// the samples of a group to about 250, or 8 KB.
+	sampleRetention = 2 * time.Minute
+	ageResolution   = 2 * time.Second
+	// suspectTime is the time for which reads avoid a target after a failure.
+	suspectTime = time.Second
+	// averageDivisor is the divisor of the moving averages: a new measurement has
+	// the weight 1/averageDivisor.
+	averageDivisor = 8
+	// initialLatency is the latency assumed for a target that has not answered yet.
+	initialLatency = 2 * time.Millisecond
 )
 
-// destination is where an attempt goes.
+// destination is the target of an attempt and the pooler that serves it.
 type destination struct {
 	target topology.TargetID
 	pooler topology.VM
-	term   uint64 // 0: a replica, which needs no right
+	term   uint64 // 0 for a replica, which needs no right
 	floor  position.Position
 }
 
-// estimate is what this entry has measured of a target.
+// estimate holds this entry's measurements of a target.
 type estimate struct {
 	latency  time.Duration // without queueing
 	service  time.Duration
@@ -47,25 +48,26 @@
 	inFlight int
 	failedAt mono.Time
 	failed   bool
-	// avoid: reads leave it out while the failure is young. The target refuses
-	// connections, or has failed twice in a row.
+	// avoid is set when the target refuses connections or has failed twice within
+	// 2*suspectTime. Reads then exclude a replica for suspectTime after the failure.
 	avoid bool
 }
 
-// groupTable is one group as this entry knows it.
-type groupTable struct {
-	fresh   *routing.Freshness
-	targets map[topology.TargetID]*estimate
+// groupState holds this entry's data about one group.
+type groupState struct {
+	freshness *routing.Freshness
+	targets   map[topology.TargetID]*estimate
 }
 
-// router chooses targets and learns from their answers. Safe for concurrent use.
+// router chooses targets and updates its estimates from their answers. It is safe for
+// concurrent use.
 type router struct {
 	view  *view.View
 	peers *peers.Table
 	clock mono.Clock
 
 	mu      sync.Mutex
-	groups  map[topology.GroupID]*groupTable
+	groups  map[topology.GroupID]*groupState
 	random  *rand.Rand
 	budgets *retry.Budgets
 	floors  floorTable
@@ -73,7 +75,7 @@
 	interruptions map[topology.GroupID]*interruption
 }
 
-// Budget of retries a second of each member and class, and at once.
+// Retry budget of each member and class: a sustained rate and a burst.
 const (
 	retriesPerSecond = 50
 	retryBurst       = 100
@@ -85,7 +87,7 @@
 		view:    v,
 		peers:   p,
 		clock:   clock,
-		groups:  map[topology.GroupID]*groupTable{},
+		groups:  map[topology.GroupID]*groupState{},
 		random:  rand.New(rand.NewPCG(seed, seed)),
 		budgets: retry.NewBudgets(retriesPerSecond, retryBurst),
 		floors:  newFloorTable(),
@@ -94,27 +96,28 @@
 	}
 }
 
-// group returns the table of a group with the newest row; the caller holds the lock.
-func (r *router) group(row *topology.Group) *groupTable {
+// group returns the table of the row's group, updated with the row. The caller
+// holds r.mu.
+func (r *router) group(row *topology.Group) *groupState {
 	g := r.groups[row.ID]
 	if g == nil {
-		g = &groupTable{fresh: routing.NewFreshness(keptAge, ageResolution), targets: map[topology.TargetID]*estimate{}}
+		g = &groupState{freshness: routing.NewFreshness(sampleRetention, ageResolution), targets: map[topology.TargetID]*estimate{}}
 		r.groups[row.ID] = g
 	}
-	g.fresh.SetGroup(row)
+	g.freshness.SetGroup(row)
 	return g
 }
 
-func (g *groupTable) estimate(id topology.TargetID) *estimate {
+func (g *groupState) estimate(id topology.TargetID) *estimate {
 	e := g.targets[id]
 	if e == nil {
-		e = &estimate{latency: firstLatency, service: firstLatency}
+		e = &estimate{latency: initialLatency, service: initialLatency}
 		g.targets[id] = e
 	}
 	return e
 }
 
-// choose picks the target of a request whose floor is known.
+// choose picks the target of a request whose floor has been computed.
 func (r *router) choose(row *topology.Group, req routing.Request) (destination, *result.Error) {
 	why, failure := r.explain(row, req)
 	if failure != nil {
@@ -126,7 +129,7 @@
 	}
 	vm, ok := r.view.PoolerOf(why.Chosen)
 	if !ok {
-		return d, result.New(result.PoolerUnreachable, "no VM for %s", why.Chosen).After(comeBack)
+		return d, result.New(result.PoolerUnreachable, "no VM for %s", why.Chosen).After(defaultRetryAfter)
 	}
 	d.pooler = vm
 	return d, nil
@@ -138,7 +141,7 @@
 	return g.Targets
 }
 
-func (r *router) candidate(g *groupTable, row *topology.Group, t config.Target, now mono.Time) routing.Candidate {
+func (r *router) candidate(g *groupState, row *topology.Group, t config.Target, now mono.Time) routing.Candidate {
 	e := g.estimate(t.ID)
 	c := routing.Candidate{
 		Target:      t.ID,
@@ -153,19 +156,19 @@
 	switch {
 	case t.Leaving && !c.Primary:
 		c.State = routing.Leaving
-	case t.Leaving, e.failed && now.Sub(e.failedAt) < suspectFor:
-		// A leaving primary still takes writes until its successor is promoted.
+	case t.Leaving, e.failed && now.Sub(e.failedAt) < suspectTime:
+		// A leaving primary accepts writes until its successor is promoted.
 		c.State = routing.Suspect
 		if e.avoid && !c.Primary {
-			// A suspect replica still comes before a healthy primary, so a read
-			// would meet a dead one until its attempts are spent.
+			// A suspect replica is preferred to a healthy primary, so a read would
+			// try a replica that is down until its attempts are used up.
 			c.State = routing.Dead
 		}
 	}
 	return c
 }
 
-// sent notes a request under way.
+// sent counts a request to the target as in flight and returns the time of sending.
 func (r *router) sent(row *topology.Group, target topology.TargetID) mono.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -173,16 +176,17 @@
 	return r.clock.Now()
 }
 
-// reply is what an answer tells besides its rows.
-type reply struct {
+// answerInfo is the part of an answer that the router's estimates are updated from.
+type answerInfo struct {
 	position position.Position
 	queue    int
 	queued   time.Duration
 	ran      time.Duration
 }
 
-// answered learns from an answer to a request sent at begun.
-func (r *router) answered(row *topology.Group, d destination, begun mono.Time, a reply) {
+// answered updates the target's estimate from the answer to a request that was sent
+// at begun.
+func (r *router) answered(row *topology.Group, d destination, begun mono.Time, a answerInfo) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
@@ -193,17 +197,17 @@
 	e.queue = a.queue
 	e.service = average(e.service, a.ran)
 	e.latency = average(e.latency, max(0, now.Sub(begun)-a.queued))
-	g.fresh.Learn(d.target, a.position, now)
+	g.freshness.Learn(d.target, a.position, now)
 	if d.target == row.Primary && d.term != 0 {
-		g.fresh.AddSample(routing.Sample{Begun: begun, Position: a.position})
+		g.freshness.AddSample(routing.Sample{Begun: begun, Position: a.position})
 	}
 }
 
 func average(old, measured time.Duration) time.Duration {
-	return old + (measured-old)/averageParts
+	return old + (measured-old)/averageDivisor
 }
 
-// failed learns from an attempt without an answer.
+// failed updates the target's estimate from an attempt that failed.
 func (r *router) failed(row *topology.Group, target topology.TargetID, failure *result.Error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -213,39 +217,39 @@
 	e.inFlight--
 	switch failure.Code {
 	case result.ReplicaBehind:
-		if at, ok := g.fresh.Applied(target); ok {
-			g.fresh.MarkBehind(target, at.Position, now)
+		if at, ok := g.freshness.Applied(target); ok {
+			g.freshness.MarkBehind(target, at.Position, now)
 		} else {
-			g.fresh.MarkBehind(target, position.Position{}, now)
+			g.freshness.MarkBehind(target, position.Position{}, now)
 		}
 	case result.TargetUnreachable, result.TargetSilent, result.PoolerUnreachable, result.OutcomeUnknown, result.Leaving:
-		young := e.failed && now.Sub(e.failedAt) < 2*suspectFor
-		e.avoid = young || failure.Code == result.TargetUnreachable
+		repeated := e.failed && now.Sub(e.failedAt) < 2*suspectTime
+		e.avoid = repeated || failure.Code == result.TargetUnreachable
 		e.failed = true
 		e.failedAt = now
 	}
 }
 
-// sample notes the primary's newest position from a fetch begun at begun.
-func (r *router) sample(row *topology.Group, begun mono.Time, at position.Position) {
+// addSample records the primary's newest position from a fetch that started at begun.
+func (r *router) addSample(row *topology.Group, begun mono.Time, at position.Position) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	g := r.group(row)
-	g.fresh.AddSample(routing.Sample{Begun: begun, Position: at})
-	g.fresh.Learn(row.Primary, at, r.clock.Now())
+	g.freshness.AddSample(routing.Sample{Begun: begun, Position: at})
+	g.freshness.Learn(row.Primary, at, r.clock.Now())
 }
 
-// next decides what follows a failed attempt.
-func (r *router) next(p retry.Policy, o retry.FailedAttempt, class retry.Class, deadline mono.Time) retry.Decision {
+// decideRetry decides whether and when a failed attempt is retried.
+func (r *router) decideRetry(p retry.Policy, o retry.FailedAttempt, class retry.Class, deadline mono.Time) retry.Decision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return p.Next(o, class, r.budgets, r.clock.Now(), deadline, r.random)
 }
 
-// positionTimeout of a fetch from the primary.
+// positionTimeout bounds a position fetch from the primary.
 const positionTimeout = 500 * time.Millisecond
 
-// call bounds a message to a pooler.
-func (r *router) call(ctx context.Context) (context.Context, context.CancelFunc) {
+// positionContext returns a context with the time-out of a position fetch.
+func (r *router) positionContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, positionTimeout)
 }
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -1,5 +1,5 @@
-// Package entry serves the callers: it speaks the PostgreSQL protocol with them
-// and sends each request to the pooler of a target that may answer it.
+// Package entry serves the connections of callers over the PostgreSQL protocol and
+// routes each request to the pooler of a target that may answer it.
 package entry
 
 import (
@@ -18,12 +18,12 @@
 	"github.com/buckthornshore/buckthornshore/pkg/session"
 )
 
-// Options of a Server.
+// Options are the dependencies and settings of a Server.
 type Options struct {
 	View  *view.View
 	Peers *peers.Table
 	Clock mono.Clock
-	// Baseline is for measurements only.
+	// Baseline selects a simpler routing policy. It is for measurements only.
 	Baseline Baseline
 	// Keys sign the sessions' tokens.
 	Keys *session.KeyRing
@@ -34,23 +34,23 @@
 
 // Server accepts the callers' connections.
 type Server struct {
-	o      Options
-	router *router
-	loads  loads
-	hops   hops
-	hopID  atomic.Uint64
-	number atomic.Uint64
+	o       Options
+	router  *router
+	limiter limiter
+	hops    hops
+	hopID   atomic.Uint64
+	number  atomic.Uint64
 
 	mu       sync.Mutex
-	sessions map[uint64]*caller
+	sessions map[uint64]*callerSession
 	leaving  bool
 	serving  bool
 	wait     sync.WaitGroup
 }
 
-// New makes a server without a listener.
+// New returns a server that has no listener yet.
 func New(o Options) *Server {
-	return &Server{o: o, router: newRouter(o.View, o.Peers, o.Clock), sessions: map[uint64]*caller{}}
+	return &Server{o: o, router: newRouter(o.View, o.Peers, o.Clock), sessions: map[uint64]*callerSession{}}
 }
 
 // Serve accepts connections until the listener closes.
@@ -79,21 +79,21 @@
 	s.serving = serving
 }
 
-// Serving reports whether new sessions are taken.
+// Serving reports whether the server accepts new sessions.
 func (s *Server) Serving() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.serving && !s.leaving
 }
 
-// handle serves one connection to its end.
+// handle serves one connection until it ends.
 func (s *Server) handle(nc net.Conn) {
 	defer nc.Close()
 	contain.Run(s.o.Log, "session", func() { s.session(nc) })
 }
 
 func (s *Server) session(nc net.Conn) {
-	sess := newCaller(s, nc)
+	sess := newCallerSession(s, nc)
 	if err := sess.startUp(); err != nil {
 		s.o.Log.Debug("event=session_refused", "remote", nc.RemoteAddr(), "error", err)
 		return
@@ -103,33 +103,33 @@
 	s.o.Log.Debug("event=session_ended", "session", sess.number, "error", err)
 }
 
-// admit registers a session, or says why not.
-func (s *Server) admit(sess *caller) *result.Error {
+// admit registers a session, or returns why it is refused.
+func (s *Server) admit(sess *callerSession) *result.Error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	conf := s.o.View.Config()
 	switch {
 	case conf == nil:
-		return result.New(result.Overloaded, "no configuration is in force yet").After(comeBack)
+		return result.New(result.Overloaded, "no configuration is in force yet").After(defaultRetryAfter)
 	case s.leaving:
-		return result.New(result.Leaving, "%s", s.o.View.Self().ID).After(comeBack)
+		return result.New(result.Leaving, "%s", s.o.View.Self().ID).After(defaultRetryAfter)
 	case len(s.sessions) >= conf.Limits().SessionsPerDaemon:
-		return result.New(result.TooManySessions, "%d", len(s.sessions)).After(comeBack)
+		return result.New(result.TooManySessions, "%d", len(s.sessions)).After(defaultRetryAfter)
 	}
-	if failure := s.loads.takeSession(conf, sess.options.member); failure != nil {
+	if failure := s.limiter.acquireSession(conf, sess.options.member); failure != nil {
 		return failure
 	}
-	sess.admitted = sess.options.member
+	sess.admittedMember = sess.options.member
 	s.sessions[sess.number] = sess
 	return nil
 }
 
-func (s *Server) remove(sess *caller) {
+func (s *Server) remove(sess *callerSession) {
 	sess.releaseTransaction()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.sessions, sess.number)
-	s.loads.sessions.give(sess.admitted)
+	s.limiter.sessions.release(sess.admittedMember)
 }
 
 // Sessions returns the number of open sessions.
--- a/internal/entry/startup.go
+++ b/internal/entry/startup.go
@@ -13,18 +13,20 @@
 )
 
 const (
-	// comeBack is when a caller that was refused for a passing reason may try again.
-	comeBack = time.Second
-	// startUpTimeout bounds how long a connection may take to start a session.
+	// defaultRetryAfter is the delay after which a caller may retry a request that
+	// was refused for a temporary reason.
+	defaultRetryAfter = time.Second
+	// startUpTimeout bounds the time from accepting a connection to the start of its
+	// session.
 	startUpTimeout = 5 * time.Second
-	// secretLength of a cancel key in bytes, as protocol 3.0 fixes it.
+	// secretLength is the length of a cancel key in bytes in protocol 3.0.
 	secretLength = 4
 )
 
 var errCancelRequest = errors.New("entry: cancel request")
 
-// startUp answers the start-up message and registers the session.
-func (s *caller) startUp() error {
+// startUp handles the start-up message and registers the session.
+func (s *callerSession) startUp() error {
 	_ = s.net.SetDeadline(time.Now().Add(startUpTimeout))
 	startup, err := s.receiveStartUp()
 	if err != nil {
@@ -36,7 +38,7 @@
 	if failure := s.server.admit(s); failure != nil {
 		return s.fatal(failure)
 	}
-	s.greet()
+	s.sendGreeting()
 	if err := s.backend.Flush(); err != nil {
 		s.server.remove(s)
 		return err
@@ -44,8 +46,9 @@
 	return s.net.SetDeadline(time.Time{})
 }
 
-// receiveStartUp refuses encryption and passes cancel requests on.
-func (s *caller) receiveStartUp() (*pgproto3.StartupMessage, error) {
+// receiveStartUp returns the start-up message. It refuses encryption and executes
+// cancel requests.
+func (s *callerSession) receiveStartUp() (*pgproto3.StartupMessage, error) {
 	for {
 		msg, err := s.backend.ReceiveStartupMessage()
 		if err != nil {
@@ -67,13 +70,13 @@
 	}
 }
 
-func (s *caller) takeParameters(parameters map[string]string) *result.Error {
+func (s *callerSession) takeParameters(parameters map[string]string) *result.Error {
 	for name, value := range parameters {
-		short, ours := strings.CutPrefix(name, optionPrefix)
-		if !ours {
+		option, isOption := strings.CutPrefix(name, optionPrefix)
+		if !isOption {
 			continue
 		}
-		if failure := s.setOption(short, value); failure != nil {
+		if failure := s.setOption(option, value); failure != nil {
 			return failure
 		}
 	}
@@ -87,26 +90,27 @@
 	return s.openSession()
 }
 
-// takeOptions reads the start-up parameter "options" ("-c name=value"), the one
-// way to give start-up parameters from psql. Those that are not ours are passed
-// over, since they would be the target's.
-func (s *caller) takeOptions(text string) *result.Error {
+// takeOptions parses the start-up parameter "options" ("-c name=value"), the only way
+// to set start-up parameters from psql. It ignores names without optionPrefix, which
+// are settings of the target.
+func (s *callerSession) takeOptions(text string) *result.Error {
 	for _, word := range strings.Fields(text) {
 		word = strings.TrimLeft(strings.TrimPrefix(word, "-c"), "-")
 		name, value, _ := strings.Cut(word, "=")
-		short, ours := strings.CutPrefix(name, optionPrefix)
-		if !ours {
+		option, isOption := strings.CutPrefix(name, optionPrefix)
+		if !isOption {
 			continue
 		}
-		if failure := s.setOption(short, value); failure != nil {
+		if failure := s.setOption(option, value); failure != nil {
 			return failure
 		}
 	}
 	return nil
 }
 
-// checkOptions finds what a session must name before its first request.
-func (s *caller) checkOptions() *result.Error {
+// checkOptions checks that the service exists and is owned by the member. An empty
+// member is set to the service's own.
+func (s *callerSession) checkOptions() *result.Error {
 	conf := s.server.o.View.Config()
 	if conf == nil {
 		return nil
@@ -124,8 +128,8 @@
 	return nil
 }
 
-// greet sends what a client expects after authentication.
-func (s *caller) greet() {
+// sendGreeting sends the messages that a client expects after the start-up message.
+func (s *callerSession) sendGreeting() {
 	s.backend.Send(&pgproto3.AuthenticationOk{})
 	for _, p := range [][2]string{
 		{"server_version", "15.0 (buckthornshore)"},
@@ -143,15 +147,15 @@
 	s.backend.Send(&pgproto3.ReadyForQuery{TxStatus: pgwire.Idle})
 }
 
-// cancel ends the request that a session has under way. A wrong key is passed
-// over in silence, as the protocol has it.
+// cancel cancels the request in progress of the session with the key. A wrong key is
+// silently ignored, as the protocol requires.
 func (s *Server) cancel(m *pgproto3.CancelRequest) {
 	if sess := s.sessionOf(m); sess != nil {
 		sess.cancelRequest()
 	}
 }
 
-func (s *Server) sessionOf(m *pgproto3.CancelRequest) *caller {
+func (s *Server) sessionOf(m *pgproto3.CancelRequest) *callerSession {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, sess := range s.sessions {
--- a/internal/entry/unit.go
+++ b/internal/entry/unit.go
@@ -9,19 +9,19 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// unit collects a caller's messages up to a Query or a Sync: what is sent to a
-// target and answered as a whole.
+// unit collects a caller's messages up to a Query or a Sync. They are sent to a
+// target and answered together.
 type unit struct {
-	messages []byte // for the target
-	steps    []step // one for each message, of the target's and of the entry's own
-	current  string // the prepared statement that the target's unnamed one holds
-	holds    bool   // false: the unnamed one holds nothing yet
-	portals  map[string]*local
-	// runs tells that the messages execute something at the target.
-	runs bool
-	// spliced: the target's answer has to be merged with the entry's own.
+	messages   []byte // encoded messages for the target
+	steps      []step // one for each message, for the target or the entry itself
+	unnamed    string // name of the prepared statement in the target's unnamed statement
+	unnamedSet bool   // whether the target's unnamed statement is set
+	portals    map[string]*localStatement
+	// executes is set when the messages execute a statement at the target.
+	executes bool
+	// spliced is set when the target's answer has to be merged with the entry's own.
 	spliced bool
-	// failure is the first error; what follows up to the Sync is passed over.
+	// failure is the first error. Messages after it are ignored up to the Sync.
 	failure *pgproto3.ErrorResponse
 }
 
@@ -29,17 +29,18 @@
 
 func (u *unit) reset() { *u = unit{messages: u.messages[:0], steps: u.steps[:0]} }
 
-// add takes a message in; whole is true when the unit can be served.
+// add adds a message to the unit. It returns true when the unit is complete.
 //
-// Named prepared statements live here, not at a target: connections are shared
-// between sessions, so a statement prepared on one would be missing on, or
-// belong to somebody else on, the next. Each use sends its text again.
-func (u *unit) add(s *caller, msg pgproto3.FrontendMessage) (whole bool) {
+// Named prepared statements are kept at the entry, not at a target: sessions share
+// the targets' connections, so a statement that was prepared on one connection would
+// be missing on the next, or be that of another session. A unit that uses a
+// statement sends its text again.
+func (u *unit) add(s *callerSession, msg pgproto3.FrontendMessage) (complete bool) {
 	if _, ok := msg.(*pgproto3.Sync); ok {
 		return u.sync()
 	}
 	if u.failure != nil {
-		return false // As PostgreSQL does: after an error all is passed over up to the Sync.
+		return false // As in PostgreSQL, all messages after an error are ignored up to the Sync.
 	}
 	if len(u.messages) > s.server.o.View.Config().Limits().MessageBytes {
 		u.fail(pgwire.ErrorResponse(result.New(result.MessageTooLarge, "all messages up to the Sync"), pgwire.SeverityError))
@@ -63,18 +64,19 @@
 	case *pgproto3.Close:
 		u.addClose(s, m)
 	case *pgproto3.Flush, *pgproto3.CopyData, *pgproto3.CopyDone, *pgproto3.CopyFail:
-		// Answers come with the Sync: a target's answer travels as a whole. Copy
-		// messages outside of a COPY are passed over, as PostgreSQL does.
+		// Answers are sent at the Sync, as a target's answer is passed on only when
+		// it is complete. Copy messages outside of a COPY are ignored, as in
+		// PostgreSQL.
 	default:
 		u.refuse(result.New(result.BadProtocol, "message %T is not served", msg))
 	}
 	return false
 }
 
-// sync ends the unit.
+// sync completes the unit, with a Sync for the target if it has messages for one.
 func (u *unit) sync() bool {
 	if len(u.messages) > 0 {
-		u.messages, _ = (&pgproto3.Sync{}).Encode(u.messages) // Has nothing to encode.
+		u.messages, _ = (&pgproto3.Sync{}).Encode(u.messages) // A Sync never fails to encode.
 	}
 	return true
 }
@@ -83,8 +85,8 @@
 
 func (u *unit) refuse(e *result.Error) { u.fail(pgwire.ErrorResponse(e, pgwire.SeverityError)) }
 
-// remote adds a message for the target.
-func (u *unit) remote(st step, m pgproto3.FrontendMessage) {
+// addRemote adds a message that is sent to the target.
+func (u *unit) addRemote(st step, m pgproto3.FrontendMessage) {
 	out, err := m.Encode(u.messages)
 	if err != nil {
 		u.refuse(result.New(result.BadProtocol, "%v", err))
@@ -93,13 +95,13 @@
 	u.messages = out
 	u.steps = append(u.steps, st)
 	u.spliced = u.spliced || st.injected || st.kind == stepParse && st.name != ""
-	u.runs = u.runs || st.kind == stepExecute || st.kind == stepQuery
+	u.executes = u.executes || st.kind == stepExecute || st.kind == stepQuery
 }
 
-// own adds a message that the entry answers itself.
-func (u *unit) own(st step) {
+// addLocal adds a message that the entry answers itself.
+func (u *unit) addLocal(st step) {
 	st.kind = stepLocal
-	if st.local != nil && u.runs {
+	if st.localStatement != nil && u.executes {
 		u.refuse(result.New(result.BadOption, "statements of %s* come before the others of their batch", optionPrefix))
 		return
 	}
@@ -107,7 +109,8 @@
 	u.spliced = true
 }
 
-// addQuery splits the leading statements of ours off a simple query.
+// addQuery adds a simple query. Leading statements that the entry answers itself
+// become steps of their own.
 func (u *unit) addQuery(m *pgproto3.Query) {
 	rest := m.String
 	for {
@@ -115,65 +118,67 @@
 		if !ok {
 			break
 		}
-		st := step{local: &l}
-		if l.hasRow() {
+		st := step{localStatement: &l}
+		if l.returnsRow() {
 			st.reply = encode(nil, l.description())
 		}
-		u.own(st)
+		u.addLocal(st)
 		rest = after
 	}
 	if rest == "" && len(u.steps) > 0 {
 		return
 	}
-	if failure := checkPassedOn(rest); failure != nil {
+	if failure := checkForwardedSQL(rest); failure != nil {
 		u.refuse(failure)
 		return
 	}
-	u.remote(step{kind: stepQuery}, &pgproto3.Query{String: rest})
+	u.addRemote(step{kind: stepQuery}, &pgproto3.Query{String: rest})
 }
 
-func (u *unit) addParse(s *caller, m *pgproto3.Parse) {
+func (u *unit) addParse(s *callerSession, m *pgproto3.Parse) {
 	if m.Name != "" && s.prepared.get(m.Name) != nil {
 		u.fail(statementError(stateDuplicateStatement, "prepared statement %q already exists", m.Name))
 		return
 	}
-	kept := &preparedStatement{Parse: pgproto3.Parse{Query: m.Query, ParameterOIDs: append([]uint32(nil), m.ParameterOIDs...)}}
+	statement := &preparedStatement{Parse: pgproto3.Parse{Query: m.Query, ParameterOIDs: append([]uint32(nil), m.ParameterOIDs...)}}
 	l, rest, ok := parseLocal(m.Query)
 	if ok && rest != "" {
 		u.refuse(result.New(result.BadOption, "one statement at a time can be prepared"))
 		return
 	}
 	if ok {
-		kept.local = &l
-	} else if failure := checkPassedOn(m.Query); failure != nil {
+		statement.localStatement = &l
+	} else if failure := checkForwardedSQL(m.Query); failure != nil {
 		u.refuse(failure)
 		return
 	}
-	if failure := s.prepared.put(m.Name, kept); failure != nil {
+	if failure := s.prepared.put(m.Name, statement); failure != nil {
 		u.refuse(failure)
 		return
 	}
 	if ok {
-		u.own(step{reply: encode(nil, &pgproto3.ParseComplete{})})
+		u.addLocal(step{reply: encode(nil, &pgproto3.ParseComplete{})})
 		return
 	}
-	u.sendParse(m.Name, kept, false)
+	u.sendParse(m.Name, statement, false)
 }
 
 func (u *unit) sendParse(name string, p *preparedStatement, injected bool) {
-	u.current, u.holds = name, true
-	u.remote(step{kind: stepParse, injected: injected, name: name}, &p.Parse)
+	u.unnamed, u.unnamedSet = name, true
+	u.addRemote(step{kind: stepParse, injected: injected, name: name}, &p.Parse)
 }
 
-// ensure makes the target's unnamed statement hold the named one.
-func (u *unit) ensure(name string, p *preparedStatement) {
-	if !u.holds || u.current != name {
+// ensureParsed adds a Parse of the prepared statement, unless it is the target's
+// unnamed statement already.
+func (u *unit) ensureParsed(name string, p *preparedStatement) {
+	if !u.unnamedSet || u.unnamed != name {
 		u.sendParse(name, p, true)
 	}
 }
 
-// find returns a prepared statement, or nil and fails the unit.
-func (u *unit) find(s *caller, name string) *preparedStatement {
+// findStatement returns the prepared statement of the name. If there is none, it
+// fails the unit and returns nil.
+func (u *unit) findStatement(s *callerSession, name string) *preparedStatement {
 	p := s.prepared.get(name)
 	if p == nil {
 		u.fail(statementError(stateNoStatement, "prepared statement %q does not exist", name))
@@ -181,73 +186,73 @@
 	return p
 }
 
-func (u *unit) addBind(s *caller, m *pgproto3.Bind) {
-	p := u.find(s, m.PreparedStatement)
+func (u *unit) addBind(s *callerSession, m *pgproto3.Bind) {
+	p := u.findStatement(s, m.PreparedStatement)
 	if p == nil {
 		return
 	}
-	if p.local != nil {
+	if p.localStatement != nil {
 		if u.portals == nil {
-			u.portals = map[string]*local{}
+			u.portals = map[string]*localStatement{}
 		}
-		u.portals[m.DestinationPortal] = p.local
-		u.own(step{reply: encode(nil, &pgproto3.BindComplete{})})
+		u.portals[m.DestinationPortal] = p.localStatement
+		u.addLocal(step{reply: encode(nil, &pgproto3.BindComplete{})})
 		return
 	}
 	delete(u.portals, m.DestinationPortal)
-	u.ensure(m.PreparedStatement, p)
+	u.ensureParsed(m.PreparedStatement, p)
 	b := *m
 	b.PreparedStatement = ""
-	u.remote(step{kind: stepBind}, &b)
+	u.addRemote(step{kind: stepBind}, &b)
 }
 
-// objectStatement marks a prepared statement in Describe and Close.
+// objectStatement is the object type of a prepared statement in Describe and Close.
 const objectStatement = 'S'
 
-func (u *unit) addDescribe(s *caller, m *pgproto3.Describe) {
+func (u *unit) addDescribe(s *callerSession, m *pgproto3.Describe) {
 	if m.ObjectType != objectStatement {
 		if l := u.portals[m.Name]; l != nil {
-			u.own(step{reply: encode(nil, l.description())})
+			u.addLocal(step{reply: encode(nil, l.description())})
 			return
 		}
-		u.remote(step{kind: stepDescribe}, m)
+		u.addRemote(step{kind: stepDescribe}, m)
 		return
 	}
-	p := u.find(s, m.Name)
+	p := u.findStatement(s, m.Name)
 	if p == nil {
 		return
 	}
-	if p.local != nil {
-		u.own(step{reply: encode(encode(nil, &pgproto3.ParameterDescription{}), p.local.description())})
+	if p.localStatement != nil {
+		u.addLocal(step{reply: encode(encode(nil, &pgproto3.ParameterDescription{}), p.localStatement.description())})
 		return
 	}
-	u.ensure(m.Name, p)
-	u.remote(step{kind: stepDescribe}, &pgproto3.Describe{ObjectType: objectStatement})
+	u.ensureParsed(m.Name, p)
+	u.addRemote(step{kind: stepDescribe}, &pgproto3.Describe{ObjectType: objectStatement})
 }
 
 func (u *unit) addExecute(m *pgproto3.Execute) {
 	if l := u.portals[m.Portal]; l != nil {
-		u.own(step{local: l})
+		u.addLocal(step{localStatement: l})
 		return
 	}
-	u.remote(step{kind: stepExecute}, m)
+	u.addRemote(step{kind: stepExecute}, m)
 }
 
-func (u *unit) addClose(s *caller, m *pgproto3.Close) {
+func (u *unit) addClose(s *callerSession, m *pgproto3.Close) {
 	if m.ObjectType != objectStatement {
 		if u.portals[m.Name] == nil {
-			u.remote(step{kind: stepClose}, m)
+			u.addRemote(step{kind: stepClose}, m)
 			return
 		}
 		delete(u.portals, m.Name)
 	} else {
 		s.prepared.remove(m.Name)
-		u.holds = u.holds && u.current != m.Name
+		u.unnamedSet = u.unnamedSet && u.unnamed != m.Name
 	}
-	u.own(step{reply: encode(nil, &pgproto3.CloseComplete{})})
+	u.addLocal(step{reply: encode(nil, &pgproto3.CloseComplete{})})
 }
 
-// PostgreSQL's states of errors with prepared statements.
+// SQLSTATE codes of PostgreSQL's errors about prepared statements.
 const (
 	stateNoStatement        = "26000"
 	stateDuplicateStatement = "42P05"
