--- a/internal/pooler/altered.go
+++ b/internal/pooler/altered.go
@@ -7,27 +7,29 @@
 	"github.com/cockroachdb/errors"
 )
 
-// errCopy ends a COPY, which is not served.
+// errCopy is returned when a statement starts a COPY, which is not supported.
 var errCopy = errors.New("pooler: COPY is not served")
 
-// alteringTags begin the completions of statements that change the session at
-// the target: the next request on its connection would run under the settings of
-// another caller, or unbound from its term.
+// alteringTags are the prefixes of the command tags of statements that change the
+// session state at the target. Without a reset, the next request on the connection
+// would run under the settings of another caller, or unbound from its term.
 var alteringTags = [][]byte{
 	[]byte("SET\x00"), []byte("RESET\x00"), []byte("DISCARD"), []byte("PREPARE\x00"),
 	[]byte("DEALLOCATE"), []byte("LISTEN\x00"), []byte("DECLARE"),
 }
 
-// unbindingTags begin the completions of those that reset every setting.
+// unbindingTags are the prefixes of the command tags of statements that reset
+// every setting.
 var unbindingTags = [][]byte{[]byte("RESET\x00"), []byte("DISCARD")}
 
-// noteCommand looks at the tag of a command that completed.
+// noteCommand records whether a completed command, given by its tag, changed the
+// session or reset its settings.
 func (c *conn) noteCommand(tag []byte) {
-	c.altered = c.altered || hasPrefix(tag, alteringTags)
-	c.unbound = c.unbound || hasPrefix(tag, unbindingTags)
+	c.altered = c.altered || hasAnyPrefix(tag, alteringTags)
+	c.unbound = c.unbound || hasAnyPrefix(tag, unbindingTags)
 }
 
-func hasPrefix(tag []byte, prefixes [][]byte) bool {
+func hasAnyPrefix(tag []byte, prefixes [][]byte) bool {
 	for _, t := range prefixes {
 		if bytes.HasPrefix(tag, t) {
 			return true
@@ -36,7 +38,7 @@
 	return false
 }
 
-// resetSession brings the connection to the state of a new one.
+// resetSession restores the connection to the state of a new one.
 func (c *conn) resetSession(ctx context.Context) error {
 	a, err := c.query(ctx, "DISCARD ALL")
 	if err != nil {
--- a/internal/pooler/cancel_test.go
+++ b/internal/pooler/cancel_test.go
@@ -25,30 +25,30 @@
 		return resp.Found
 	}
 
-	// The caller gets its target's own answer to the cancel; a request that waits
-	// behind it gets "not run" without ever taking a slot.
-	It("ends what runs at the target and what waits for a slot", func() {
+	// The caller of a running request gets the target's own answer to the cancel. A
+	// request that waits behind it gets "not run" and never takes a slot.
+	It("ends a running request and one that waits for a slot", func() {
 		b := newBench()
 		b.limits.Slots = 1
 		running := b.request("write", "select pg_sleep(30)")
-		runs := start(b, running)
+		runningAnswer := start(b, running)
 		time.Sleep(100 * time.Millisecond)
 		queued := b.request("write", upsert)
-		waits := start(b, queued)
+		queuedAnswer := start(b, queued)
 		Eventually(func() bool { return cancel(b, queued) }).Should(BeTrue())
 		var resp *peerpb.ExecuteResponse
-		Eventually(waits).WithTimeout(3 * time.Second).Should(Receive(&resp))
+		Eventually(queuedAnswer).WithTimeout(3 * time.Second).Should(Receive(&resp))
 		Expect(code(resp)).To(Equal(result.Cancelled))
 		Expect(result.Ran(resp.Failure.Ran)).To(Equal(result.NotRun))
-		Expect(runs).NotTo(Receive())
+		Expect(runningAnswer).NotTo(Receive())
 		Expect(cancel(b, running)).To(BeTrue())
-		Eventually(runs).WithTimeout(3 * time.Second).Should(Receive(&resp))
+		Eventually(runningAnswer).WithTimeout(3 * time.Second).Should(Receive(&resp))
 		Expect(resp.Failure).To(BeNil())
 		Expect(string(resp.Messages)).To(ContainSubstring("57014"))
 		b.write(upsert)
 	})
 
-	It("knows no request that has ended", func() {
+	It("does not find a request that has ended", func() {
 		b := newBench()
 		r := b.request("write", upsert)
 		Expect(b.execute(r).Failure).To(BeNil())
--- a/internal/pooler/confirm.go
+++ b/internal/pooler/confirm.go
@@ -9,16 +9,16 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// replicaWait bounds the wait for the replicas of one commit. When one of them
-// dies or lags it is taken off the list well within it, and the wait goes on for
-// those that count by then.
-const replicaWait = 4 * time.Second
+// replicaWaitTimeout bounds the wait for the replicas of one commit. A replica that dies
+// or lags is removed from the list well within this time, and the wait continues
+// for the replicas that are still on the list.
+const replicaWaitTimeout = 4 * time.Second
 
-// confirm tells whether the answer may go out.
+// confirm reports whether the answer may be sent to the caller; nil means that it may.
 //
-// Failure: the holder was paused between the target's completion and this line,
-// and its group was given a new primary meanwhile. An acknowledgement then would
-// promise a write that the new primary may lack.
+// It guards against a process pause between the completion at the target and this
+// check, during which the group gets a new primary. Acknowledging then would promise
+// a write that the new primary may lack.
 func (p *Pooler) confirm(ctx context.Context, tp *targetPool, req *request, a answer) *result.Error {
 	if req.Term == 0 {
 		return nil
@@ -29,18 +29,18 @@
 	return p.rights.Confirm(req.right, false)
 }
 
-// confirmReplicated waits until the replicas that count hold the commit. The wait
-// is here and not at the target: there it would be for the replicas that counted
-// when the write began, and hold a slot and a connection for as long as one of
-// them lags.
+// confirmReplicated waits until the replicas that the right lists hold the commit.
+// The pooler waits rather than the target: the target would wait for the replicas
+// that were listed when the write began, and would occupy a slot and a connection
+// for as long as one of them lags.
 func (p *Pooler) confirmReplicated(ctx context.Context, tp *targetPool, req *request, committed position.Position) *result.Error {
-	ctx, cancel := context.WithTimeout(ctx, replicaWait)
+	ctx, cancel := context.WithTimeout(ctx, replicaWaitTimeout)
 	defer cancel()
 	leave := tp.watch.join(tp.control)
 	defer leave()
 	for {
 		right, refused := p.rights.Right(req.group, req.Term)
-		if refused != nil && forGood(refused) {
+		if refused != nil && isPermanent(refused) {
 			return result.New(result.OutcomeUnknown, "%s", refused.Error())
 		}
 		status, changed := tp.watch.latest()
@@ -55,14 +55,15 @@
 	}
 }
 
-// forGood reports whether a refused right does not come back to this VM: another term
-// has begun, or another VM pools the target by now. Waiting on would only keep from the
-// caller for seconds that its outcome is unknown.
-func forGood(refused *result.Error) bool {
+// isPermanent reports whether a refused right will not return to this VM, because another
+// term has begun or another VM is now the target's pooler. Waiting longer would only
+// delay, by seconds, the news to the caller that its outcome is unknown.
+func isPermanent(refused *result.Error) bool {
 	return refused.Code == result.TermRefused || refused.Code == result.WrongPooler
 }
 
-// replicasHold reports whether the primary knows that the replicas hold the commit.
+// replicasHold reports whether the primary's status shows that the replicas hold the
+// commit.
 func replicasHold(status TargetStatus, replicas []topology.TargetID, at position.Position) bool {
 	if status.Role != RolePrimary || status.Term != at.Term {
 		return false
--- a/internal/pooler/confirm_test.go
+++ b/internal/pooler/confirm_test.go
@@ -14,21 +14,21 @@
 )
 
 var _ = Describe("A write that waits for replicas", func() {
-	// The caller waits for its write. The write has committed and no replica has confirmed it
-	// yet, when a restart hands the target to another VM. This VM will never have the right
-	// again, so the caller must hear at once that the outcome is unknown, while it has the
-	// time to ask by its request id; it used to hear so after four seconds.
+	// The write has committed but no replica has confirmed it when a restart hands the target
+	// to another VM. This VM will not get the right back, so the caller must be told at once
+	// that the outcome is unknown, while it still has time to ask by its request id. The
+	// failure was that the answer came only after the replica wait of four seconds.
 	It("ends when the target is handed to another VM", func() {
 		b := newBench()
-		var handed atomic.Bool
+		var handedOver atomic.Bool
 		b.rights = func(g topology.GroupID, term uint64) (authority.Right, *result.Error) {
 			h := authority.NewHolder(topology.VM{ID: "vm-1", Incarnation: 1}, authority.Options{})
-			if handed.Load() {
+			if handedOver.Load() {
 				return h.Right(g, term, mono.System{}.Now())
 			}
 			return authority.Right{Group: g, Term: term, WaitFor: []topology.TargetID{"no-replica"}}, nil
 		}
-		time.AfterFunc(100*time.Millisecond, func() { handed.Store(true) })
+		time.AfterFunc(100*time.Millisecond, func() { handedOver.Store(true) })
 		begun := time.Now()
 		resp := b.execute(b.request("replicated", upsert))
 		Expect(code(resp)).To(Equal(result.OutcomeUnknown))
--- a/internal/pooler/conn.go
+++ b/internal/pooler/conn.go
@@ -15,24 +15,25 @@
 	"github.com/buckthornshore/buckthornshore/pkg/position"
 )
 
-// Names of the parameters that a target reports or takes.
+// Names of the parameters that a target reports or accepts.
 const (
 	parameterPosition  = "buckthornshore.position"
 	parameterCommitted = "buckthornshore.committed"
 	parameterControl   = "buckthornshore.control"
 )
 
-// maxServerMessage bounds one answer that the pooler asks for itself, in bytes.
+// maxServerMessage bounds the answer to one of the pooler's own queries, in bytes.
 const maxServerMessage = 1 << 20
 
-// Dialer opens connections; the daemon's own may map addresses between networks.
+// Dialer opens connections. The daemon's implementation may map addresses between
+// networks.
 type Dialer interface {
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// connSettings are what a connection is bound to at its target.
+// connSettings are the session settings that bind a connection at its target.
 type connSettings struct {
-	term     uint64 // 0: not bound to a term
+	term     uint64 // 0 if not bound to a term
 	readOnly bool
 }
 
@@ -45,21 +46,23 @@
 	lastUsed time.Time
 	pid      uint32
 	secret   []byte
-	// tainted: a cancel request may still arrive for it; never reused.
+	// tainted is set when a cancel request may still arrive for the connection,
+	// which is then never reused.
 	tainted bool
-	// altered: a statement changed the session at the target.
+	// altered is set when a statement changed the session at the target.
 	altered bool
-	// unbound: a statement reset the settings that bind it.
+	// unbound is set when a statement reset the settings in connSettings.
 	unbound bool
 }
 
-// answer is what a target sent for one unit.
+// answer is what a target sent in response to one unit, which is the messages of
+// one request.
 type answer struct {
 	messages []byte // raw backend frames
 	status   byte   // of the last ReadyForQuery
-	// committed is where the connection's own commit lies; zero without one.
+	// committed is the position of the connection's own commit; zero if there was none.
 	committed position.Position
-	sqlState  string // of the first ErrorResponse; "" without one
+	sqlState  string // of the first ErrorResponse; "" if there was none
 }
 
 // dial connects and waits until the target is ready.
@@ -78,11 +81,11 @@
 
 func (c *conn) startUp(ctx context.Context, parameters map[string]string) error {
 	c.setDeadline(ctx)
-	all := map[string]string{"user": "buckthornshore", "application_name": "buckthornshore"}
+	withIdentity := map[string]string{"user": "buckthornshore", "application_name": "buckthornshore"}
 	for k, v := range parameters {
-		all[k] = v
+		withIdentity[k] = v
 	}
-	startup := &pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersion30, Parameters: all}
+	startup := &pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersion30, Parameters: withIdentity}
 	out, err := startup.Encode(nil)
 	if err != nil {
 		return err
@@ -100,10 +103,11 @@
 	return nil
 }
 
-// targetError is an ErrorResponse of the target to the pooler itself.
+// targetError is an ErrorResponse that the target sent to one of the pooler's own
+// queries or during start-up.
 type targetError struct{ state string }
 
-// Error names the state.
+// Error implements error.
 func (e *targetError) Error() string { return "target refused: SQLSTATE " + e.state }
 
 // setDeadline bounds all I/O by the context's deadline.
@@ -112,9 +116,9 @@
 	_ = c.net.SetDeadline(deadline)
 }
 
-// exchange sends out and reads until syncs ReadyForQuery have come. After an
-// error the connection must be closed: an answer that still comes would be
-// taken for the next request's.
+// exchange sends out and reads until it has received syncs ReadyForQuery messages.
+// After an error the connection must be closed, because a late answer would be
+// taken for the answer to the next request.
 func (c *conn) exchange(ctx context.Context, out []byte, syncs, limit int) (answer, error) {
 	c.setDeadline(ctx)
 	if _, err := c.net.Write(out); err != nil {
@@ -125,8 +129,9 @@
 	return a, err
 }
 
-// readAnswer collects frames. An error during start-up ends the connection
-// without a ReadyForQuery: then the status stays 0.
+// readAnswer reads frames until it has received syncs ReadyForQuery messages. An
+// error during start-up ends the connection without a ReadyForQuery; the status is
+// then 0.
 func (c *conn) readAnswer(syncs, limit int) (answer, error) {
 	var a answer
 	for syncs > 0 {
@@ -155,7 +160,7 @@
 	return a, nil
 }
 
-// observe notes what the pooler needs from a frame; keep is false for frames
+// observe records what the pooler needs from a frame. keep is false for frames
 // that are not part of the caller's answer.
 func (c *conn) observe(frame pgwire.Frame, a *answer) (keep bool, err error) {
 	switch frame.Type() {
@@ -173,8 +178,8 @@
 	case pgwire.TypeCommandComplete:
 		c.noteCommand(frame.Body())
 	case pgwire.TypeCopyIn, pgwire.TypeCopyOut, pgwire.TypeCopyBoth:
-		// The target waits for, or sends, data that has no place in a whole
-		// answer; both sides would wait until the deadline.
+		// The target now expects or sends a stream of data, which a single
+		// complete answer can't carry; both sides would wait until the deadline.
 		return false, errCopy
 	case 'K':
 		return false, c.observeKey(frame)
@@ -214,7 +219,7 @@
 	return nil
 }
 
-// query runs one simple query of the pooler's own.
+// query runs one of the pooler's own queries with the simple query protocol.
 func (c *conn) query(ctx context.Context, sql string) (answer, error) {
 	out, err := (&pgproto3.Query{String: sql}).Encode(nil)
 	if err != nil {
@@ -223,9 +228,10 @@
 	return c.exchange(ctx, out, 1, maxServerMessage)
 }
 
-// bind brings the connection's settings to want with one round trip, or none
-// when they are so already. The round trip is not pipelined with the request:
-// were the binding to fail, the request behind it would run unguarded.
+// bind sets the connection's settings to want with one round trip, or with none if
+// they already match. The round trip is not pipelined with the request: if the
+// binding failed, the request behind it would run without its term or read-only
+// setting.
 func (c *conn) bind(ctx context.Context, want connSettings) error {
 	if c.unbound {
 		c.settings = connSettings{readOnly: !want.readOnly} // Send them all again.
@@ -233,7 +239,7 @@
 	if c.settings == want {
 		return nil
 	}
-	altered := c.altered // By the open transaction.
+	altered := c.altered // Set by the open transaction, if any; the SET below sets it too.
 	var sql strings.Builder
 	if c.settings.term != want.term {
 		sql.WriteString("SET buckthornshore.term = '" + termValue(want.term) + "'; ")
@@ -253,7 +259,8 @@
 	return nil
 }
 
-// termValue of 0 unties the connection from any term.
+// termValue returns the setting's text for the term. For 0 it is empty, which
+// unbinds the connection from any term.
 func termValue(term uint64) string {
 	if term == 0 {
 		return ""
@@ -268,8 +275,9 @@
 	return "off"
 }
 
-// verify asks the target for a sign of life; a connection that something
-// between the two ends has lost track of stays silent.
+// verify checks with a Sync that the connection still works. A connection whose
+// state was lost between the two ends, by a firewall or NAT for example, gets no
+// answer.
 func (c *conn) verify(ctx context.Context) error {
 	out, err := (&pgproto3.Sync{}).Encode(nil)
 	if err != nil {
--- a/internal/pooler/control.go
+++ b/internal/pooler/control.go
@@ -16,19 +16,19 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// TargetStatus is a target's own account of itself.
+// TargetStatus is the status that a target reports.
 type TargetStatus struct {
 	ID       topology.TargetID
 	Role     string
 	Term     uint64
 	Position position.Position
 	Primary  topology.TargetID
-	// Surplus is the first position that was cut off when the target last
-	// re-joined; "" when none was.
+	// Surplus is the first position of the log that was truncated when the target
+	// last rejoined its group; "" if nothing was truncated.
 	Surplus  string
 	Replicas map[topology.TargetID]position.Position
-	// Active are the connections that run a statement, by process id; nil when
-	// the target does not tell.
+	// Active is the set of process ids of the connections that are running a
+	// statement; nil if the target does not report it.
 	Active map[uint32]bool
 }
 
@@ -40,8 +40,8 @@
 	RoleUnassigned = "unassigned"
 )
 
-// Control is a target's control connection: it takes neither a slot nor a place
-// among the target's connections. Safe for concurrent use.
+// Control is a target's control connection. It uses no slot and does not count
+// towards the target's connection limit. Safe for concurrent use.
 type Control struct {
 	dialer  Dialer
 	address string
@@ -50,18 +50,18 @@
 	conn *conn
 }
 
-// NewControl makes a control connection that opens on first use.
+// NewControl returns a control connection that opens on first use.
 func NewControl(d Dialer, address string) *Control {
 	return &Control{dialer: d, address: address}
 }
 
-// Status asks for the target's status.
+// Status returns the target's status.
 func (c *Control) Status(ctx context.Context) (TargetStatus, error) {
 	return c.run(ctx, "SHOW buckthornshore.status")
 }
 
-// Fence makes the target refuse every term below term and tells its last
-// position. Idempotent.
+// Fence makes the target refuse every term below term and returns its status with
+// its last position. Idempotent.
 func (c *Control) Fence(ctx context.Context, term uint64) (TargetStatus, error) {
 	return c.run(ctx, "BTS FENCE "+strconv.FormatUint(term, 10))
 }
@@ -77,7 +77,8 @@
 	return c.run(ctx, sql)
 }
 
-// terminate ends another connection of the target, by its process id and secret.
+// terminate closes another connection to the target from the target's side; the
+// connection is identified by its process id and secret.
 func (c *Control) terminate(ctx context.Context, other *conn) error {
 	sql := "BTS TERMINATE " + strconv.FormatUint(uint64(other.pid), 10) + " '" + hex.EncodeToString(other.secret) + "'"
 	_, err := c.run(ctx, sql)
@@ -87,11 +88,12 @@
 	return err
 }
 
-// errNoStatus is the answer to a control statement that returns no row.
+// errNoStatus is returned when the answer to a control statement has no row.
 var errNoStatus = errors.New("target sent no status")
 
-// Probe opens a new connection and asks for a status: a silent old connection
-// does not make a target dead.
+// Probe queries the target's status on a new connection and returns it with the
+// time taken. The connection is new because an existing one that gets no answer
+// does not prove that the target is dead.
 func Probe(ctx context.Context, d Dialer, address string) (TargetStatus, time.Duration, error) {
 	begun := time.Now()
 	c := NewControl(d, address)
@@ -100,7 +102,8 @@
 	return s, time.Since(begun), err
 }
 
-// OpenProbe is Probe, but leaves the connection of a target that answers open.
+// OpenProbe queries the target's status on a new connection, as Probe does, and
+// returns the connection open if the target answers.
 func OpenProbe(ctx context.Context, d Dialer, address string) (*Control, error) {
 	c := NewControl(d, address)
 	if _, err := c.Status(ctx); err != nil {
@@ -110,8 +113,8 @@
 	return c, nil
 }
 
-// Ping sends an empty query on the open connection only; it opens none. The answer
-// is a sixth of a status, and a process that gives it lives as much.
+// Ping sends an empty query on the open connection; it does not open one. The answer
+// is a sixth of the size of a status, and proves as well that the process is alive.
 func (c *Control) Ping(ctx context.Context) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,7 +127,7 @@
 
 var errNotOpen = errors.New("the control connection is not open")
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Control) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -138,13 +141,14 @@
 	}
 }
 
-// run sends one control statement. A connection that fails is given up and one
-// new one tried: control statements are idempotent.
+// run sends one control statement. If the open connection fails, the statement is
+// retried once on a new one, which is safe because control statements are
+// idempotent.
 func (c *Control) run(ctx context.Context, sql string) (TargetStatus, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn != nil {
-		s, err := c.tryHalf(ctx, sql)
+		s, err := c.tryWithHalfDeadline(ctx, sql)
 		var refused *targetError
 		if err == nil || errors.As(err, &refused) {
 			return s, err
@@ -164,9 +168,9 @@
 	return s, err
 }
 
-// tryHalf spends at most half of the time left on a connection that may have
-// gone silent, so that a new one still gets its turn.
-func (c *Control) tryHalf(ctx context.Context, sql string) (TargetStatus, error) {
+// tryWithHalfDeadline sends a statement on a connection that may no longer work. It
+// uses at most half of the time left, so that time remains for a new connection.
+func (c *Control) tryWithHalfDeadline(ctx context.Context, sql string) (TargetStatus, error) {
 	if deadline, ok := ctx.Deadline(); ok {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, time.Until(deadline)/2)
--- a/internal/pooler/entries.go
+++ b/internal/pooler/entries.go
@@ -7,14 +7,15 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// askEntryAfter is how long a transaction sits idle before its entry is asked
-// whether it lives.
+// askEntryAfter is how long a transaction is idle before its entry is asked
+// whether it is alive.
 const askEntryAfter = time.Second
 
-// sweepEntries frees the transactions whose entry has gone. A killed entry sends
-// no Release: its locks and connections would stay taken until the idle time-out,
-// and those who wait for the same rows with them. An idle entry that nobody
-// writes to gives no evidence of its death, so it is asked.
+// sweepEntries ends the transactions whose entry is dead or was restarted. A killed
+// entry sends no Release: its transactions would keep their locks and connections
+// until the idle time-out, and block every request that waits for the same rows. A
+// dead entry to which no VM sends anything goes undetected, so the entry of an idle
+// transaction is asked.
 func (p *Pooler) sweepEntries(tp *targetPool, now time.Time) {
 	if p.o.Entries == nil {
 		return
--- a/internal/pooler/execute.go
+++ b/internal/pooler/execute.go
@@ -18,27 +18,28 @@
 	"github.com/buckthornshore/buckthornshore/rpc/peerpb"
 )
 
-// SQL states of a target that the pooler understands.
+// SQL states of a target that the pooler handles.
 const (
 	sqlTermRefused     = "BT202"
 	sqlUniqueViolation = "23505"
 	sqlCancelled       = pgwire.StateCancelled
 )
 
-// request is one unit on its way through the pooler.
+// request is one unit that the pooler is processing.
 type request struct {
 	*peerpb.ExecuteRequest
 	class ClassLimits
 	key   txKey
 	group topology.GroupID
-	// flight can be cancelled.
-	flight *flight
-	right  authority.Right // of a request to a primary
-	// leaveSlot gives the slot back; a wait for replicas needs none.
-	leaveSlot func()
+	// inFlightRequest is the record by which Cancel finds the request.
+	inFlightRequest *inFlightRequest
+	right           authority.Right // set for requests to a primary
+	// releaseSlot releases the slot. It is called before a wait for replicas, which
+	// needs no slot.
+	releaseSlot func()
 }
 
-func (p *Pooler) execute(ctx context.Context, f *flight, in *peerpb.ExecuteRequest, resp *peerpb.ExecuteResponse) *result.Error {
+func (p *Pooler) execute(ctx context.Context, f *inFlightRequest, in *peerpb.ExecuteRequest, resp *peerpb.ExecuteResponse) *result.Error {
 	class, ok := p.o.Directory.Class(in.Service, in.Class)
 	if !ok {
 		return result.New(result.UnknownClass, "%s", in.Class)
@@ -48,38 +49,40 @@
 		return err
 	}
 	req := &request{
-		ExecuteRequest: in,
-		class:          class,
-		key:            txKey{in.Entry, in.EntryIncarnation, in.Transaction},
-		group:          topology.GroupID(in.Group),
-		flight:         f,
+		ExecuteRequest:  in,
+		class:           class,
+		key:             txKey{in.Entry, in.EntryIncarnation, in.Transaction},
+		group:           topology.GroupID(in.Group),
+		inFlightRequest: f,
 	}
-	if err := p.begin(tp, in); err != nil {
+	if err := p.admit(tp, in); err != nil {
 		return err
 	}
-	defer tp.work.end()
-	// Before the queue: a replica that is behind must not hold a slot idle.
+	defer tp.requestCounter.end()
+	// The wait comes before the queue, so that a slot is not held idle while a
+	// replica is behind.
 	if err := p.waitForFloor(ctx, tp, req); err != nil {
 		return err
 	}
-	// As the answer leaves: entries weigh targets by it, and what the queue was
-	// when the request left it says nothing of the time that it ran.
+	// The queue length is read when the answer is sent, because entries weigh targets
+	// by it. Its value when the request left the queue is out of date once the request
+	// has run.
 	defer func() { resp.QueueLength = uint32(tp.gate.length()) }()
 	begun := time.Now()
-	slot, err := tp.gate.enter(ctx, p.admissionRequest(req))
+	slot, err := tp.gate.acquire(ctx, p.admissionRequest(req))
 	if err != nil {
 		return err
 	}
 	resp.QueueUs = uint32(time.Since(begun).Microseconds())
 	p.o.Metrics.Queued(in.Member, in.Class, time.Since(begun))
 	begun = time.Now()
-	req.leaveSlot = sync.OnceFunc(func() {
-		slot.leave()
+	req.releaseSlot = sync.OnceFunc(func() {
+		slot.release()
 		resp.RunUs = uint32(time.Since(begun).Microseconds())
 		p.o.Metrics.Ran(in.Member, in.Class, time.Since(begun))
 	})
-	defer req.leaveSlot()
-	if err := p.takeRight(req); err != nil {
+	defer req.releaseSlot()
+	if err := p.obtainRight(req); err != nil {
 		return err
 	}
 	if in.InTransaction {
@@ -88,8 +91,9 @@
 	return p.start(ctx, tp, req, resp)
 }
 
-// admissionRequest says what the queue weighs. A read at the primary comes after
-// the writes of its priority: it could have run elsewhere.
+// admissionRequest returns the attributes by which the queue orders the request. A
+// read at the primary comes after the writes of its priority, because it could have
+// run on a replica.
 func (p *Pooler) admissionRequest(req *request) admission.Request {
 	if p.o.FirstCome {
 		return admission.Request{Member: req.Member, Class: req.Class, Priority: admission.Normal}
@@ -106,16 +110,16 @@
 	return r
 }
 
-// deadlineOf turns the context's deadline into an instant.
+// deadlineOf converts the context's deadline to monotonic time.
 func deadlineOf(ctx context.Context, now mono.Time) mono.Time {
 	deadline, _ := ctx.Deadline() // Execute always sets one.
 	return now.Add(time.Until(deadline))
 }
 
-// takeRight guards everything that runs on a primary: its writes, and its reads
-// too, since a replaced primary lacks what its successor acknowledged. It is
-// asked for after the queue, so that it is fresh when the request goes out.
-func (p *Pooler) takeRight(req *request) (failure *result.Error) {
+// obtainRight gets the right that every request to a primary needs: writes, and reads
+// too, since a replaced primary lacks what its successor acknowledged. It is called
+// after the wait in the queue, so that the right is current when the request is sent.
+func (p *Pooler) obtainRight(req *request) (failure *result.Error) {
 	if req.Term == 0 {
 		return nil
 	}
@@ -123,7 +127,7 @@
 	return failure
 }
 
-// start runs a unit outside a transaction; it may open one.
+// start runs a unit that is not part of an open transaction; the unit may open one.
 func (p *Pooler) start(ctx context.Context, tp *targetPool, req *request, resp *peerpb.ExecuteResponse) *result.Error {
 	want, err := p.settingsFor(req)
 	if err != nil {
@@ -142,7 +146,7 @@
 	a, failure := p.runCancellable(ctx, tp, c, req, p.runUnit)
 	if failure != nil {
 		p.discardLost(tp, c, failure)
-		p.doubtAfter(tp, failure)
+		p.doubtIfUnreachable(tp, failure)
 		return failure
 	}
 	p.evidence.Answered(tp.target.ID, time.Since(begun))
@@ -155,16 +159,17 @@
 	return p.conclude(ctx, tp, req, at, a, resp)
 }
 
-// bindInTime bounds the settings' round trip: a connection that went silent would
-// hold the request, and its slot, up to the deadline.
+// bindInTime binds the connection within connectTimeout. Without that bound, a
+// connection that no longer answers would hold the request and its slot until the
+// deadline.
 func bindInTime(ctx context.Context, c *conn, want connSettings) error {
 	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
 	return c.bind(ctx, want)
 }
 
-// doubtAfter has the target probed after a failure of its connection.
-func (p *Pooler) doubtAfter(tp *targetPool, failure *result.Error) {
+// doubtIfUnreachable has the target probed if the failure is one of its connection.
+func (p *Pooler) doubtIfUnreachable(tp *targetPool, failure *result.Error) {
 	if failure.Code == result.TargetSilent || failure.Code == result.TargetUnreachable {
 		p.evidence.Doubted(tp.target.ID)
 	}
@@ -186,7 +191,7 @@
 	if failure != nil {
 		tp.drop(req.key)
 		p.discardLost(tp, h.conn, failure)
-		p.doubtAfter(tp, failure)
+		p.doubtIfUnreachable(tp, failure)
 		return failure
 	}
 	p.evidence.Answered(tp.target.ID, time.Since(begun))
@@ -195,9 +200,9 @@
 	return p.conclude(ctx, tp, req, at, a, resp)
 }
 
-// rebind binds the transaction's connection as the present statement's class
-// needs, and refuses a class that waits for a replica while none counts: its
-// commit could not be acknowledged.
+// rebind binds the transaction's connection as the class of the current statement
+// requires. It refuses a class that waits for a replica while the right lists none,
+// because the commit could not be acknowledged.
 func (p *Pooler) rebind(ctx context.Context, c *conn, req *request) *result.Error {
 	want, failure := p.settingsFor(req)
 	if failure != nil {
@@ -209,10 +214,10 @@
 	return nil
 }
 
-// conclude finishes the request. When it fails with its transaction open the
-// caller is told that the transaction is gone, so it must be.
+// conclude finishes the request. On a failure the caller is told that its transaction
+// has ended, so a transaction that is still open is abandoned.
 func (p *Pooler) conclude(ctx context.Context, tp *targetPool, req *request, at position.Position, a answer, resp *peerpb.ExecuteResponse) *result.Error {
-	req.leaveSlot()
+	req.releaseSlot()
 	tp.floors.completed(req.Session, a.committed)
 	failure := p.finish(ctx, tp, req, at, a, resp)
 	if failure != nil {
@@ -221,9 +226,10 @@
 	return failure
 }
 
-// settle gives the connection back when the transaction has ended.
+// settle returns the connection to the pool if the transaction has ended, or closes
+// it if it can't be reused.
 func (p *pool) settle(key txKey, h *heldConn, status byte) {
-	if p.stays(h, status) {
+	if p.keepHeld(h, status) {
 		return
 	}
 	p.drop(key)
@@ -234,13 +240,13 @@
 	p.release(h.conn)
 }
 
-// stays puts the connection back to its open transaction; false when that has
-// ended or was abandoned meanwhile.
-func (p *pool) stays(h *heldConn, status byte) bool {
+// keepHeld marks the connection of an open transaction as idle and reports whether the
+// transaction keeps it; false if the transaction has ended or was abandoned.
+func (p *pool) keepHeld(h *heldConn, status byte) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if status == pgwire.Idle || h.gone {
-		h.conn.tainted = h.conn.tainted || h.gone
+	if status == pgwire.Idle || h.abandoned {
+		h.conn.tainted = h.conn.tainted || h.abandoned
 		return false
 	}
 	h.busy = false
@@ -248,7 +254,7 @@
 	return true
 }
 
-// settingsFor tells what the connection must be bound to for the request.
+// settingsFor returns the settings that the request needs on its connection.
 func (p *Pooler) settingsFor(req *request) (connSettings, *result.Error) {
 	want := connSettings{term: req.Term, readOnly: !req.class.Write}
 	if req.class.WaitsForReplica && len(req.right.WaitFor) == 0 {
@@ -257,7 +263,7 @@
 	return want, nil
 }
 
-// runUnit sends the unit; a class that may not be repeated gets its ledger row
+// runUnit sends the unit. A write that is not repeatable also writes its ledger row,
 // in the same transaction.
 func (p *Pooler) runUnit(ctx context.Context, c *conn, req *request) (answer, *result.Error) {
 	if req.class.Write && !req.class.Repeatable && !req.Repeatable {
@@ -269,26 +275,26 @@
 func (p *Pooler) runPlain(ctx context.Context, c *conn, req *request) (answer, *result.Error) {
 	a, err := c.exchange(ctx, req.Messages, int(req.Syncs), p.o.Directory.Bounds().ResultBytes)
 	if err != nil {
-		return a, lostAnswer(topology.TargetID(req.Target), err)
+		return a, exchangeFailure(topology.TargetID(req.Target), err)
 	}
 	return a, nil
 }
 
-// lostAnswer says what a failed exchange means: the request was sent, so unless
-// the caller knows better its outcome is unknown.
-func lostAnswer(id topology.TargetID, err error) *result.Error {
+// exchangeFailure returns the result of a failed exchange. The request was sent, so its
+// outcome is unknown unless the result is refined later.
+func exchangeFailure(id topology.TargetID, err error) *result.Error {
 	if errors.Is(err, pgwire.ErrFrameTooLarge) {
 		return result.New(result.ResultTooLarge, "%s", id)
 	}
 	if errors.Is(err, errCopy) {
 		e := result.New(result.BadProtocol, "COPY is not served")
-		e.Ran = result.Unknown // What came before it in its batch may have run.
+		e.Ran = result.Unknown // Earlier statements of the batch may have run.
 		return e
 	}
 	return result.New(result.TargetSilent, "%s: %v", id, err).After(verifyAfter)
 }
 
-// finish checks the right once more and fills the answer.
+// finish checks the right again and fills in the response.
 func (p *Pooler) finish(ctx context.Context, tp *targetPool, req *request, at position.Position, a answer, resp *peerpb.ExecuteResponse) *result.Error {
 	if a.sqlState == sqlTermRefused {
 		return termRefused(req, a)
@@ -308,8 +314,9 @@
 	return nil
 }
 
-// termRefused is "not run" only when the refusal came before anything: a unit
-// of several statements may have had its first ones committed.
+// termRefused returns the result for a term that the target refused. Outside a
+// transaction it is "not run" only if the refusal came before any statement completed:
+// the first statements of a unit of several may have been committed.
 func termRefused(req *request, a answer) *result.Error {
 	e := result.New(result.TermRefused, "%s", req.Target).After(verifyAfter)
 	if len(commandTags(a.messages)) > 0 && !req.InTransaction {
--- a/internal/pooler/flight.go
+++ b/internal/pooler/flight.go
@@ -16,87 +16,88 @@
 // cancelTimeout bounds the delivery of one cancel request to a target.
 const cancelTimeout = time.Second
 
-// flightKey names a request under way, as its entry does.
-type flightKey struct {
+// inFlightKey identifies an in-flight request by the entry that sent it, the entry's
+// incarnation and the hop id.
+type inFlightKey struct {
 	entry       string
 	incarnation uint64
 	hop         uint64
 }
 
-// flight is a request under way, from its arrival to its answer.
-type flight struct {
-	key  flightKey
-	stop context.CancelFunc // ends its wait in the queue
+// inFlightRequest is an in-flight request, from its arrival to its answer.
+type inFlightRequest struct {
+	key  inFlightKey
+	stop context.CancelFunc // ends the wait in the queue
 
-	// mu is held while a cancel request is delivered, so that the connection is
-	// not given to the next request before: the cancel would end that one.
-	mu        sync.Mutex
-	cancelled bool
-	conn      *conn  // runs the request now; nil when none does
-	address   string // of conn's target
-	target    topology.TargetID
-	group     topology.GroupID
-	term      uint64    // 0: conn is not bound to one
-	unsure    bool      // a cancel request may still arrive on conn
-	since     time.Time // when conn was attached, or last found running
-	checking  bool
+	// mu is held while a cancel request is delivered, so that the connection is not
+	// given to the next request until then; the cancel would end that request.
+	mu              sync.Mutex
+	cancelled       bool
+	conn            *conn  // the connection that runs the request; nil if none does
+	address         string // of the target of conn
+	target          topology.TargetID
+	group           topology.GroupID
+	term            uint64    // 0 if conn is not bound to a term
+	cancelMayArrive bool      // set if a cancel request may still arrive for conn
+	since           time.Time // when conn was attached or last checked
+	checking        bool      // set while a check for a silent connection is running
 }
 
-// flights holds the requests under way. The zero value is ready. Safe for
+// inFlightRequests holds the in-flight requests. The zero value is ready to use. Safe for
 // concurrent use.
-type flights struct {
+type inFlightRequests struct {
 	mu  sync.Mutex
-	all map[flightKey]*flight
+	all map[inFlightKey]*inFlightRequest
 }
 
-// begin registers a request; the context returned ends when it is cancelled.
-func (fs *flights) begin(ctx context.Context, key flightKey) (context.Context, *flight) {
+// begin registers a request. The returned context ends when the request is cancelled.
+func (fs *inFlightRequests) begin(ctx context.Context, key inFlightKey) (context.Context, *inFlightRequest) {
 	ctx, stop := context.WithCancel(ctx)
-	f := &flight{key: key, stop: stop}
+	f := &inFlightRequest{key: key, stop: stop}
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
 	if fs.all == nil {
-		fs.all = map[flightKey]*flight{}
+		fs.all = map[inFlightKey]*inFlightRequest{}
 	}
 	fs.all[key] = f
 	return ctx, f
 }
 
-func (fs *flights) end(f *flight) {
+func (fs *inFlightRequests) end(f *inFlightRequest) {
 	f.stop()
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
 	delete(fs.all, f.key)
 }
 
-func (fs *flights) find(key flightKey) *flight {
+func (fs *inFlightRequests) find(key inFlightKey) *inFlightRequest {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
 	return fs.all[key]
 }
 
-// cut ends the exchanges whose group has gone on to another term. A frozen
-// primary would hold them to their deadlines; its answer could not be
-// acknowledged any more, so the caller is told at once that it is unknown.
-func (fs *flights) cut(d Directory) {
+// interruptSuperseded ends the exchanges whose group has moved to a later term. A frozen primary
+// would delay them until their deadlines. Its answer could no longer be
+// acknowledged, so the caller is told at once that the outcome is unknown.
+func (fs *inFlightRequests) interruptSuperseded(d Directory) {
 	for _, f := range fs.list() {
-		f.cutAfter(d)
+		f.interruptIfSuperseded(d)
 	}
 }
 
-func (fs *flights) list() []*flight {
+func (fs *inFlightRequests) list() []*inFlightRequest {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
-	all := make([]*flight, 0, len(fs.all))
+	all := make([]*inFlightRequest, 0, len(fs.all))
 	for _, f := range fs.all {
 		all = append(all, f)
 	}
 	return all
 }
 
-func (f *flight) cutAfter(d Directory) {
+func (f *inFlightRequest) interruptIfSuperseded(d Directory) {
 	if !f.mu.TryLock() {
-		return // A cancel request is on its way; the next tick looks again.
+		return // A cancel request is being delivered; the next tick checks again.
 	}
 	defer f.mu.Unlock()
 	if f.conn == nil || f.term == 0 {
@@ -107,9 +108,9 @@
 	}
 }
 
-// attach tells that c runs the request from now on; false when it was cancelled
-// before, so that nothing may be sent.
-func (f *flight) attach(c *conn, address string, req *request) bool {
+// attach records that c runs the request from now on. It returns false if the request
+// was already cancelled, in which case nothing may be sent.
+func (f *inFlightRequest) attach(c *conn, address string, req *request) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.cancelled {
@@ -122,17 +123,18 @@
 	return true
 }
 
-// detach waits for a cancel request on its way; safe is false when one may still
-// reach the target and end the statement that the connection runs next.
-func (f *flight) detach() (safe bool) {
+// detach waits until a cancel request that is being delivered is done. safe is false
+// if a cancel request may still reach the target and end the next statement on the
+// connection.
+func (f *inFlightRequest) detach() (safe bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.conn = nil
-	return !f.unsure
+	return !f.cancelMayArrive
 }
 
-// explain names the cancel as the reason why a request has not run.
-func (f *flight) explain(failure *result.Error) *result.Error {
+// asCancelled replaces the failure of a cancelled request that has not run by Cancelled.
+func (f *inFlightRequest) asCancelled(failure *result.Error) *result.Error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if failure == nil || !f.cancelled || failure.Ran != result.NotRun {
@@ -147,9 +149,9 @@
 	return e
 }
 
-// cancel ends the request: in the queue at once, at its target by a cancel
-// request on a connection of its own.
-func (f *flight) cancel(ctx context.Context, d Dialer) {
+// cancel ends the request: at once if it waits in the queue, or by a cancel request
+// on a separate connection if it runs at its target.
+func (f *inFlightRequest) cancel(ctx context.Context, d Dialer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cancelled = true
@@ -157,11 +159,11 @@
 		f.stop()
 		return
 	}
-	f.unsure = sendCancel(ctx, d, f.address, f.conn) != nil
+	f.cancelMayArrive = sendCancel(ctx, d, f.address, f.conn) != nil
 }
 
-// sendCancel delivers a cancel request and waits until the target has taken it,
-// which it tells by closing the connection.
+// sendCancel delivers a cancel request and waits until the target has processed it
+// and closes the connection.
 func sendCancel(ctx context.Context, d Dialer, address string, c *conn) error {
 	ctx, done := context.WithTimeout(ctx, cancelTimeout)
 	defer done()
@@ -186,13 +188,14 @@
 // runner sends a request on a connection.
 type runner func(ctx context.Context, c *conn, req *request) (answer, *result.Error)
 
-// runCancellable runs the request so that Cancel finds its connection.
+// runCancellable runs the request with its connection attached, so that Cancel can
+// find it.
 func (p *Pooler) runCancellable(ctx context.Context, tp *targetPool, c *conn, req *request, run runner) (answer, *result.Error) {
-	if !req.flight.attach(c, tp.target.Address, req) {
+	if !req.inFlightRequest.attach(c, tp.target.Address, req) {
 		return answer{}, cancelledUnsent()
 	}
 	a, failure := run(ctx, c, req)
-	if !req.flight.detach() {
+	if !req.inFlightRequest.detach() {
 		c.tainted = true
 	}
 	return a, failure
@@ -200,7 +203,7 @@
 
 // Cancel implements peerpb.Pooler.
 func (p *Pooler) Cancel(ctx context.Context, req *peerpb.CancelRequest) (*peerpb.CancelResponse, error) {
-	f := p.flights.find(flightKey{req.Entry, req.EntryIncarnation, req.HopId})
+	f := p.inFlightRequests.find(inFlightKey{req.Entry, req.EntryIncarnation, req.HopId})
 	if f == nil {
 		return &peerpb.CancelResponse{}, nil
 	}
--- a/internal/pooler/floor.go
+++ b/internal/pooler/floor.go
@@ -11,13 +11,15 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// floorPoll is how often a replica that is behind is asked again.
+// floorPoll is the interval at which the position of a replica that is behind is
+// queried again.
 const floorPoll = 2 * time.Millisecond
 
-// holds reports whether a target at p is known to show the group's log up to
-// floor. Positions alone do not tell: a former primary that ran past the end of
-// its term has the greater one, and its readers would see writes that are lost
-// and miss those of its successor. Without the group's row nothing is known.
+// holds reports whether a target at position at is known to hold the group's log up
+// to floor. Comparing positions is not enough: a former primary that ran past the end
+// of its term has the greater position, but its readers would see lost writes and
+// miss those of its successor. Without the group's row the answer is false, unless
+// floor is zero.
 func (p *Pooler) holds(group topology.GroupID, at, floor position.Position) bool {
 	if floor.IsZero() {
 		return true
@@ -26,7 +28,8 @@
 	return row != nil && routing.Holds(row, at, floor)
 }
 
-// waitForFloor waits a short while until the target holds the request's floor.
+// waitForFloor waits until the target holds the request's floor, for at most the
+// request's FloorWaitMs.
 func (p *Pooler) waitForFloor(ctx context.Context, tp *targetPool, req *request) *result.Error {
 	floor := peers.Position(req.Floor)
 	if p.holds(req.group, tp.newestPosition(), floor) {
@@ -41,7 +44,7 @@
 		if err != nil {
 			return result.New(result.TargetUnreachable, "%s: %v", req.Target, err).After(verifyAfter)
 		}
-		tp.seen(s.Position)
+		tp.recordPosition(s.Position)
 		if p.holds(req.group, s.Position, floor) {
 			return nil
 		}
@@ -52,8 +55,8 @@
 	}
 }
 
-func (p *pool) seen(at position.Position) {
+func (p *pool) recordPosition(at position.Position) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.notePosition(at)
+	p.advancePosition(at)
 }
--- a/internal/pooler/floor_test.go
+++ b/internal/pooler/floor_test.go
@@ -11,10 +11,11 @@
 )
 
 var _ = Describe("The floor of a read", func() {
-	// The caller's read goes on to another target. This one is a former primary
-	// that ran past the end of its term: its position is the greater one, but what
-	// lies past the end is lost, and a reader would see it.
-	It("is not shown by a former primary of another history", func() {
+	// The target is a former primary that ran past the end of its term. Its position
+	// is greater than the floor, but the writes past the end of the term are lost, and
+	// a reader would see them. The read must be refused, so that its caller goes on to
+	// another target.
+	It("is refused by a former primary whose history has diverged", func() {
 		b := newBench()
 		for range 5 {
 			b.write("insert into quota (k, v) values ('a', '1') on conflict (k) do update set v = excluded.v")
@@ -28,7 +29,7 @@
 		Expect(code(b.execute(read))).To(Equal(result.ReplicaBehind))
 	})
 
-	It("is shown by a target that holds it", func() {
+	It("is served by a target that holds it", func() {
 		b := newBench()
 		at := b.write("insert into quota (k, v) values ('a', '1')").Position
 		read := b.request("read", "select v from quota where k = 'a'")
--- a/internal/pooler/floors.go
+++ b/internal/pooler/floors.go
@@ -10,13 +10,15 @@
 )
 
 const (
-	// trackedSessions of one target: about 100 bytes each.
+	// trackedSessions is the number of sessions tracked per target, at about 100 bytes
+	// each.
 	trackedSessions = 20000
-	// floorGapAge is how long a missing completion may be on its way.
+	// floorGapAge is how long the completion of an earlier write may still be
+	// outstanding.
 	floorGapAge = 2 * time.Second
 )
 
-// sessionFloors guards routing.SessionFloors. Safe for concurrent use.
+// sessionFloors is a routing.SessionFloors with a lock. Safe for concurrent use.
 type sessionFloors struct {
 	clock mono.Clock
 
@@ -28,7 +30,7 @@
 	return &sessionFloors{clock: clock, floors: routing.NewSessionFloors(trackedSessions, floorGapAge)}
 }
 
-// completed notes a commit before it is acknowledged.
+// completed records a commit; it is called before the commit is acknowledged.
 func (f *sessionFloors) completed(session string, at position.Position) {
 	if at.IsZero() {
 		return
@@ -38,8 +40,8 @@
 	f.floors.Completed(session, at, f.clock.Now())
 }
 
-// floor returns where the session's last write lies at the latest: the newest
-// position when this pooler can't say more.
+// floor returns an upper bound for the position of the session's last write. It is
+// newest if the session is not tracked.
 func (f *sessionFloors) floor(session string, newest position.Position) position.Position {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/pooler/gate.go
+++ b/internal/pooler/gate.go
@@ -9,13 +9,14 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// gate hands out a target's slots as pkg/admission decides. Safe for concurrent use.
+// gate assigns a target's slots in the order that pkg/admission decides. Safe for
+// concurrent use.
 type gate struct {
 	clock mono.Clock
 
 	mu      sync.Mutex
 	queue   *admission.Queue
-	waiting map[uint64]chan *result.Error // nil sent: the slot is the request's
+	waiting map[uint64]chan *result.Error // receives nil when the request gets its slot
 	nextID  uint64
 }
 
@@ -23,14 +24,14 @@
 	return &gate{clock: clock, queue: admission.NewQueue(limits), waiting: map[uint64]chan *result.Error{}}
 }
 
-// ticket is a request's slot; leave gives it back.
-type ticket struct {
+// heldSlot is a slot that a request holds; release gives it back.
+type heldSlot struct {
 	gate *gate
 	id   uint64
 }
 
-// enter waits for a slot. An error is final and proves that nothing has run.
-func (g *gate) enter(ctx context.Context, r admission.Request) (*ticket, *result.Error) {
+// acquire waits for a slot. An error means that nothing of the request has run.
+func (g *gate) acquire(ctx context.Context, r admission.Request) (*heldSlot, *result.Error) {
 	verdict, id, refused := g.enqueue(ctx, r)
 	if refused != nil {
 		return nil, refused
@@ -40,9 +41,9 @@
 		if failure != nil {
 			return nil, failure
 		}
-		return &ticket{g, id}, nil
+		return &heldSlot{g, id}, nil
 	case <-ctx.Done():
-		return g.giveUp(id, verdict)
+		return g.abandonWait(id, verdict)
 	}
 }
 
@@ -54,19 +55,19 @@
 	r.ID = g.nextID
 	r.Deadline = deadlineOf(ctx, now)
 	answers, err := g.queue.Enqueue(now, r)
-	g.answer(answers)
+	g.replyAll(answers)
 	if err != nil {
 		return nil, 0, result.From(err)
 	}
 	verdict := make(chan *result.Error, 1)
 	g.waiting[r.ID] = verdict
-	g.pump(now)
+	g.dispatch(now)
 	return verdict, r.ID, nil
 }
 
-// giveUp removes the request. It may have got its slot in the same instant; then
-// the slot goes back, nothing having been sent.
-func (g *gate) giveUp(id uint64, verdict <-chan *result.Error) (*ticket, *result.Error) {
+// abandonWait removes the request from the queue. If the request got its slot at the same
+// moment, the slot is released; nothing has been sent.
+func (g *gate) abandonWait(id uint64, verdict <-chan *result.Error) (*heldSlot, *result.Error) {
 	g.mu.Lock()
 	cancelled := g.queue.Cancel(id)
 	delete(g.waiting, id)
@@ -75,57 +76,58 @@
 		if failure := <-verdict; failure != nil {
 			return nil, failure
 		}
-		(&ticket{g, id}).leave()
+		(&heldSlot{g, id}).release()
 	}
 	return nil, result.New(result.DeadlineInQueue, "no slot was free in time").After(verifyAfter)
 }
 
-func (t *ticket) leave() {
-	t.gate.mu.Lock()
-	defer t.gate.mu.Unlock()
-	now := t.gate.clock.Now()
-	t.gate.queue.Done(t.id, now)
-	t.gate.pump(now)
+func (s *heldSlot) release() {
+	s.gate.mu.Lock()
+	defer s.gate.mu.Unlock()
+	now := s.gate.clock.Now()
+	s.gate.queue.Done(s.id, now)
+	s.gate.dispatch(now)
 }
 
-// pump starts what may start and answers what has expired; the caller holds the
-// lock.
-func (g *gate) pump(now mono.Time) {
+// dispatch gives free slots to waiting requests and refuses expired ones. The caller
+// holds the lock.
+func (g *gate) dispatch(now mono.Time) {
 	start, expired := g.queue.Next(now)
 	for _, r := range start {
-		g.tell(r.ID, nil)
+		g.reply(r.ID, nil)
 	}
-	g.answer(expired)
+	g.replyAll(expired)
 }
 
-func (g *gate) answer(answers []admission.Answer) {
+func (g *gate) replyAll(answers []admission.Answer) {
 	for _, a := range answers {
-		g.tell(a.ID, a.Err)
+		g.reply(a.ID, a.Err)
 	}
 }
 
-func (g *gate) tell(id uint64, failure *result.Error) {
+func (g *gate) reply(id uint64, failure *result.Error) {
 	if verdict := g.waiting[id]; verdict != nil {
 		delete(g.waiting, id)
 		verdict <- failure
 	}
 }
 
-// tick answers expired requests of a queue that nothing else moves.
+// tick refuses expired requests. Without it they would stay in a queue whose slots
+// are all held by long requests.
 func (g *gate) tick() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.queue.Waiting() > 0 {
-		g.pump(g.clock.Now())
+		g.dispatch(g.clock.Now())
 	}
 }
 
-// setLimits puts other limits in force, as a switch of the preset does.
+// setLimits replaces the limits, for example after a switch to another preset.
 func (g *gate) setLimits(limits admission.Limits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.answer(g.queue.SetLimits(limits))
-	g.pump(g.clock.Now())
+	g.replyAll(g.queue.SetLimits(limits))
+	g.dispatch(g.clock.Now())
 }
 
 func (g *gate) length() int {
--- a/internal/pooler/leaving.go
+++ b/internal/pooler/leaving.go
@@ -9,88 +9,91 @@
 	"github.com/buckthornshore/buckthornshore/rpc/peerpb"
 )
 
-// work counts the requests of one target that were taken and not yet answered.
-type work struct {
+// requestCounter counts the requests of one target that were accepted and not yet answered,
+// and refuses new ones while paused.
+type requestCounter struct {
 	mu      sync.Mutex
 	running int
 	paused  bool
 }
 
-func (w *work) begin(inTransaction bool) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.paused && !inTransaction {
+func (c *requestCounter) admit(inTransaction bool) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.paused && !inTransaction {
 		return false
 	}
-	w.running++
+	c.running++
 	return true
 }
 
-func (w *work) end() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.running--
+func (c *requestCounter) end() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.running--
 }
 
-func (w *work) pause(paused bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.paused = paused
+func (c *requestCounter) pause(paused bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.paused = paused
 }
 
-func (w *work) count() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.running
+func (c *requestCounter) count() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.running
 }
 
-// leavingRetry is when a request refused by a leaving target may come again: the
-// caller's entry has the newer configuration or group row by then.
+// leavingRetry is the delay after which a request refused by a leaving target may be
+// retried; by then its entry has the newer configuration or group row.
 const leavingRetry = 50 * time.Millisecond
 
-// begin takes a request in, or refuses it before anything of it ran: a leaving
-// replica takes nothing new though an entry with an older configuration sends
-// it, and a primary nothing while it is drained. What a transaction has begun
-// goes on, or it would be cut.
-func (p *Pooler) begin(tp *targetPool, req *peerpb.ExecuteRequest) *result.Error {
+// admit accepts a request, or refuses it before anything of it has run. A leaving
+// replica accepts no new requests, which an entry with an older configuration may
+// still send, and a primary accepts none while it is drained. Requests of an open
+// transaction are accepted; otherwise the transaction would be aborted.
+func (p *Pooler) admit(tp *targetPool, req *peerpb.ExecuteRequest) *result.Error {
 	t, _ := p.o.Directory.Target(tp.target.ID)
 	replicaLeaves := t.Leaving && req.Term == 0 && !req.InTransaction
-	if replicaLeaves || !tp.work.begin(req.InTransaction) {
+	if replicaLeaves || !tp.requestCounter.admit(req.InTransaction) {
 		return result.New(result.Leaving, "target %s", req.Target).After(leavingRetry)
 	}
 	return nil
 }
 
-// Pause has the target's new requests refused with Leaving, so that those taken
-// before and open transactions come to their end; or takes new ones again.
+// Pause sets whether new requests to the target are refused with Leaving. While they
+// are, accepted requests and open transactions run to their end.
 func (p *Pooler) Pause(id topology.TargetID, paused bool) {
 	if tp, failure := p.pool(id); failure == nil {
-		tp.work.pause(paused)
+		tp.requestCounter.pause(paused)
 	}
 }
 
-// Running counts the target's requests under way and its open transactions.
+// Running returns the number of the target's in-flight requests plus that of its open
+// transactions.
 func (p *Pooler) Running(id topology.TargetID) int {
 	tp, failure := p.pool(id)
 	if failure != nil {
 		return 0
 	}
-	return tp.work.count() + tp.openTransactions()
+	return tp.requestCounter.count() + tp.openTransactions()
 }
 
-// RunningAll counts them for all targets.
+// RunningAll returns the sum of Running over all targets.
 func (p *Pooler) RunningAll() int {
 	n := 0
-	for _, tp := range p.all() {
-		n += tp.work.count() + tp.openTransactions()
+	for _, tp := range p.targetPools() {
+		n += tp.requestCounter.count() + tp.openTransactions()
 	}
 	return n
 }
 
-// CloseIdle closes the connections that nothing uses: the VM that takes a target
-// over needs their places within the target's limit.
+// CloseIdle closes the connections that no request or transaction uses. They count
+// towards the target's connection limit, which the VM that takes the target over
+// needs.
 func (p *Pooler) CloseIdle() {
-	for _, tp := range p.all() {
+	for _, tp := range p.targetPools() {
 		tp.closeAll()
 	}
 }
--- a/internal/pooler/measure.go
+++ b/internal/pooler/measure.go
@@ -1,6 +1,6 @@
 package pooler
 
-// inUse counts the connections that serve a request or a transaction.
+// inUse returns the number of connections that serve a request or a transaction.
 func (p *pool) inUse() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pooler/once.go
+++ b/internal/pooler/once.go
@@ -12,8 +12,8 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// LedgerTable holds a row for each request that may not be repeated: its id and
-// its class.
+// LedgerTable is the table at each target that holds a row, with the id and the
+// class, for each request that may not be repeated.
 const LedgerTable = "buckthornshore_ledger"
 
 // Command tags that open or end a transaction.
@@ -23,15 +23,15 @@
 	tagRollback = "ROLLBACK"
 )
 
-// runOnce wraps the unit: the ledger row, in the same transaction, makes a
-// second run of the same request id fail as a whole, whichever proxy it comes
-// through. A unit that opens a transaction of its own keeps it open.
+// runOnce runs the unit in a transaction that also inserts its ledger row. The row
+// makes a second run of the same request id fail as a whole, whichever proxy it comes
+// through. A unit that opens a transaction itself keeps it open.
 func (p *Pooler) runOnce(ctx context.Context, c *conn, req *request) (answer, *result.Error) {
 	target := topology.TargetID(req.Target)
 	claim := "BEGIN; INSERT INTO " + LedgerTable + " (k, v) VALUES (" + quote(req.CallerRequestId) + ", " + quote(req.Class) + ")"
 	first, err := c.query(ctx, claim)
 	if err != nil {
-		// No commit was sent, and the connection is closed: rolled back.
+		// No commit was sent, and the caller closes the connection, which rolls back.
 		return first, result.New(result.TargetUnreachable, "%s: %v", target, err).After(verifyAfter)
 	}
 	if first.sqlState != "" {
@@ -39,15 +39,16 @@
 	}
 	a, err := c.exchange(ctx, req.Messages, int(req.Syncs), p.o.Directory.Bounds().ResultBytes)
 	if err != nil {
-		return a, lostAnswer(target, err)
+		return a, exchangeFailure(target, err)
 	}
 	if a.status == pgwire.Idle || opensTransaction(a.messages) {
 		return a, nil
 	}
-	return endWrapped(ctx, c, target, a)
+	return endLedgerTransaction(ctx, c, target, a)
 }
 
-// ledgerRefused says why the ledger row could not be written; nothing has run.
+// ledgerRefused returns the result for a ledger row that could not be inserted;
+// nothing of the unit has run.
 func ledgerRefused(req *request, a answer) *result.Error {
 	switch a.sqlState {
 	case sqlUniqueViolation:
@@ -60,16 +61,17 @@
 	return result.New(result.TransactionAborted, "%s: ledger: SQLSTATE %s", req.Target, a.sqlState).After(time.Second)
 }
 
-// endWrapped commits, or rolls back after an error, and gives the caller the
-// unit's own answer with the state that it would have had alone.
-func endWrapped(ctx context.Context, c *conn, target topology.TargetID, a answer) (answer, *result.Error) {
+// endLedgerTransaction commits the transaction of runOnce, or rolls it back after an error. It
+// returns the unit's own answer with the transaction state that the unit would have
+// had without the surrounding transaction.
+func endLedgerTransaction(ctx context.Context, c *conn, target topology.TargetID, a answer) (answer, *result.Error) {
 	sql := tagCommit
 	if a.status == pgwire.Failed {
 		sql = tagRollback
 	}
 	end, err := c.query(ctx, sql)
 	if err != nil {
-		return end, lostAnswer(target, err)
+		return end, exchangeFailure(target, err)
 	}
 	if end.sqlState != "" {
 		return end, nil
@@ -80,7 +82,7 @@
 	return a, nil
 }
 
-// setStatus replaces the state in the last ReadyForQuery of messages.
+// setStatus replaces the transaction state in the last ReadyForQuery of messages.
 func setStatus(messages []byte, status byte) []byte {
 	if n := len(messages); n > 0 {
 		messages[n-1] = status
@@ -88,7 +90,7 @@
 	return messages
 }
 
-// commandTags lists the first words of the commands that completed.
+// commandTags returns the first word of the tag of each completed command.
 func commandTags(messages []byte) []string {
 	var tags []string
 	_ = pgwire.Split(messages, func(f pgwire.Frame) error {
@@ -106,8 +108,7 @@
 	return tags
 }
 
-// opensTransaction reports whether the unit itself began a transaction that it
-// did not end.
+// opensTransaction reports whether the unit began a transaction that it did not end.
 func opensTransaction(messages []byte) bool {
 	open := false
 	for _, tag := range commandTags(messages) {
--- a/internal/pooler/pool.go
+++ b/internal/pooler/pool.go
@@ -12,23 +12,24 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Times of a target's connections.
+// Time limits of a target's connections.
 const (
-	// connectTimeout of a new connection.
+	// connectTimeout bounds the opening of a connection.
 	connectTimeout = time.Second
-	// verifyAfter: a connection idle for longer is verified before it is used.
-	// One that has gone silent would turn the write sent on it into an unknown
-	// outcome; the check costs a round trip, and only after a quiet spell.
+	// verifyAfter is the idle time after which a connection is verified before it is
+	// used. A write sent on a connection that no longer works would have an unknown
+	// outcome; the check costs a round trip, and only after an idle period.
 	verifyAfter = 250 * time.Millisecond
-	// verifyTimeout of that check; a new connection is opened after it.
+	// verifyTimeout bounds that check; after it a new connection is opened.
 	verifyTimeout = 200 * time.Millisecond
-	// idleClose: connections idle for longer are closed.
+	// idleClose is the idle time after which a connection is closed.
 	idleClose = 30 * time.Second
 )
 
-// txKey names a transaction: by the hop that opened it, at one start of its entry.
-// A session's number would not do: an attempt that its entry gave up may open its
-// transaction late, and would take the place of the one that the retry opened.
+// txKey identifies a transaction by its entry, the entry's incarnation and the hop
+// that opened the transaction. A session id would not be enough: an attempt that its
+// entry has abandoned may open its transaction late, and would replace the one that
+// the retry opened.
 type txKey struct {
 	entry       string
 	incarnation uint64
@@ -37,13 +38,14 @@
 
 // heldConn is a connection that an open transaction owns.
 type heldConn struct {
-	conn  *conn
-	busy  bool // a request is using it
-	gone  bool // abandoned while busy; its request discards the connection
-	since time.Time
+	conn      *conn
+	busy      bool // a request is using it
+	abandoned bool // abandoned while busy; the request in progress discards the connection
+	since     time.Time
 }
 
-// pool owns the connections of one target: nothing else opens any for requests.
+// pool owns the connections to one target. Every connection that serves requests
+// is opened by it.
 type pool struct {
 	target topology.Target
 	dialer Dialer
@@ -53,7 +55,7 @@
 	idle     []*conn
 	open     int
 	held     map[txKey]*heldConn
-	position position.Position // newest that the target reported
+	position position.Position // newest position that the target reported
 }
 
 func newPool(t topology.Target, d Dialer, limit int) *pool {
@@ -65,13 +67,13 @@
 	}
 }
 
-// acquire returns a verified connection, preferably one bound as wanted.
-// Nothing has been sent for the request when it fails: not run. It does not wait
-// for a connection: the request holds a slot, and open transactions that hold
-// all connections need that slot to end.
+// acquire returns a verified connection, preferably one that is already bound as
+// wanted. When it fails, nothing of the request has been sent. It does not wait for a
+// connection: the request holds a slot, and the open transactions that hold all
+// connections may need that slot to end.
 func (p *pool) acquire(ctx context.Context, want connSettings) (*conn, *result.Error) {
 	for {
-		c, mayOpen := p.take(want)
+		c, mayOpen := p.takeOrReserve(want)
 		switch {
 		case c == nil && !mayOpen:
 			return nil, result.New(result.ConnectionsInUse, "%s", p.target.ID).After(verifyAfter)
@@ -84,9 +86,9 @@
 	}
 }
 
-// take returns an idle connection; or none, and whether a new one may be opened,
-// whose place is then reserved.
-func (p *pool) take(want connSettings) (c *conn, mayOpen bool) {
+// takeOrReserve returns an idle connection if there is one. Otherwise mayOpen reports whether
+// a new one may be opened, which is then already counted as open.
+func (p *pool) takeOrReserve(want connSettings) (c *conn, mayOpen bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if n := len(p.idle); n > 0 {
@@ -108,7 +110,8 @@
 	return nil, true
 }
 
-// usable prepares an idle connection for its next request.
+// usable prepares an idle connection for its next request and reports whether it
+// can be used.
 func (p *pool) usable(ctx context.Context, c *conn) bool {
 	ctx, cancel := context.WithTimeout(ctx, verifyTimeout)
 	defer cancel()
@@ -121,19 +124,19 @@
 	return c.verify(ctx) == nil
 }
 
-// connect opens the connection whose place take reserved.
+// connect opens the connection that takeOrReserve has counted as open.
 func (p *pool) connect(ctx context.Context) (*conn, *result.Error) {
 	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
 	c, err := dial(ctx, p.dialer, p.target.Address, nil)
 	if err != nil {
-		p.freePlace()
+		p.decrementOpen()
 		return nil, connectResult(p.target.ID, err)
 	}
 	return c, nil
 }
 
-// sqlTooManyConnections is PostgreSQL's state for a full target.
+// sqlTooManyConnections is the SQLSTATE of a server that accepts no more connections.
 const sqlTooManyConnections = "53300"
 
 func connectResult(id topology.TargetID, err error) *result.Error {
@@ -144,7 +147,7 @@
 	return result.New(result.TargetUnreachable, "%s: %v", id, err).After(verifyAfter)
 }
 
-// release gives a healthy connection back.
+// release returns a working connection to the pool.
 func (p *pool) release(c *conn) {
 	if c.tainted {
 		p.discard(c)
@@ -152,24 +155,24 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.notePosition(c.position)
+	p.advancePosition(c.position)
 	p.idle = append(p.idle, c)
 }
 
-// discard closes a connection that can't be trusted any more: an answer that
-// still comes on it would reach the wrong caller.
+// discard closes a connection that can't be reused, because a late answer on it would
+// reach the wrong caller.
 func (p *pool) discard(c *conn) {
 	c.close()
-	p.freePlace()
+	p.decrementOpen()
 }
 
-func (p *pool) freePlace() {
+func (p *pool) decrementOpen() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
 }
 
-func (p *pool) notePosition(at position.Position) {
+func (p *pool) advancePosition(at position.Position) {
 	p.position = position.Max(p.position, at)
 }
 
@@ -179,7 +182,7 @@
 	return p.position
 }
 
-// claim takes the connection of an open transaction for one request.
+// claim reserves the connection of an open transaction for one request.
 func (p *pool) claim(key txKey) (*heldConn, *result.Error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -198,7 +201,7 @@
 func (p *pool) hold(key txKey, c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.notePosition(c.position)
+	p.advancePosition(c.position)
 	p.held[key] = &heldConn{conn: c, since: time.Now()}
 }
 
@@ -208,24 +211,26 @@
 	return len(p.held)
 }
 
-// drop forgets the transaction; the caller has its connection.
+// drop removes the transaction; the caller keeps its connection.
 func (p *pool) drop(key txKey) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.held, key)
 }
 
-// abandon ends a transaction whose session has gone: its connection is closed,
-// which rolls it back at the target. While a request uses the connection, that
-// request gives its place back: twice would let the pool open one too many.
+// abandon ends a transaction whose session has ended, by closing its connection, which
+// rolls the transaction back at the target. If a request is using the connection, that
+// request discards it: discarding it twice would let the pool open one connection too
+// many.
 func (p *pool) abandon(key txKey) {
 	if h := p.removeHeld(key); h != nil {
 		p.discard(h.conn)
 	}
 }
 
-// removeHeld returns the connection of an idle transaction. One in use is closed
-// only, which ends its request with an error.
+// removeHeld removes an idle transaction and returns it with its connection. If a
+// request is using the connection, removeHeld returns nil and only closes the
+// connection, which ends the request with an error.
 func (p *pool) removeHeld(key txKey) *heldConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -234,7 +239,7 @@
 		return nil
 	}
 	if h.busy {
-		h.gone = true
+		h.abandoned = true
 		h.conn.close()
 		return nil
 	}
@@ -276,7 +281,7 @@
 	return keys
 }
 
-// closeAll ends every connection that no request is using.
+// closeAll closes every connection that no request or transaction is using.
 func (p *pool) closeAll() {
 	p.mu.Lock()
 	idle := p.idle
--- a/internal/pooler/pooler.go
+++ b/internal/pooler/pooler.go
@@ -1,5 +1,7 @@
-// Package pooler owns the connections and slots of the targets whose pooler
-// this VM is: it admits requests, runs them and acknowledges what it may.
+// Package pooler manages the connections and slots of the targets whose pooler is
+// this VM. It admits requests, runs them, and acknowledges them while this VM holds
+// the right to do so. A request comes from its entry, which is the VM that received it
+// from the caller; each forwarding of a request from entry to pooler is a hop.
 package pooler
 
 import (
@@ -18,57 +20,62 @@
 	"github.com/buckthornshore/buckthornshore/rpc/peerpb"
 )
 
-// Rights tells whether this VM may acknowledge for a group's primary now.
+// Rights reports whether this VM may currently acknowledge requests for a group's
+// primary.
 type Rights interface {
-	// Right is asked before a request goes to the primary.
+	// Right returns the right for the group and term. It is called before a request
+	// is sent to the primary.
 	Right(group topology.GroupID, term uint64) (authority.Right, *result.Error)
-	// Confirm is asked before its answer goes out; waited: the write waited for
-	// the replicas of the right.
+	// Confirm checks that the right still stands. It is called before the answer is
+	// sent; waited is set if the write waited for the replicas of the right.
 	Confirm(right authority.Right, waited bool) *result.Error
 }
 
-// Evidence hears how targets behave, so that no probe is needed while they are
-// busy.
+// Evidence receives observations about targets from requests, so that no probe is
+// needed while they are busy.
 type Evidence interface {
+	// Answered records that the target answered a request after latency.
 	Answered(target topology.TargetID, latency time.Duration)
+	// Doubted records that the target may have failed.
 	Doubted(target topology.TargetID)
 }
 
-// ClassLimits is what the pooler needs of a request's class.
+// ClassLimits are the properties of a request's class that the pooler uses.
 type ClassLimits struct {
 	Write bool
-	// Repeatable: may run more than once; others get a row in the ledger.
+	// Repeatable is set if a write may run more than once; other writes get a row in
+	// the ledger.
 	Repeatable bool
-	// WaitsForReplica: the acknowledgement waits for the synced replicas.
+	// WaitsForReplica is set if the acknowledgement waits for the synced replicas.
 	WaitsForReplica bool
 	Priority        admission.Priority
 }
 
-// Directory answers questions about the configuration and the group rows.
+// Directory gives access to the configuration and the group rows.
 type Directory interface {
 	Target(id topology.TargetID) (TargetLimits, bool)
 	Class(service, class string) (ClassLimits, bool)
-	// Admission returns the limits of a target's queue as the preset has them.
+	// Admission returns the limits of a target's queue in the current preset.
 	Admission(id topology.TargetID) admission.Limits
-	// Group returns the newest known row of a group; nil when there is none.
+	// Group returns the newest known row of a group; nil if there is none.
 	Group(id topology.GroupID) *topology.Group
-	// Bounds returns what the configuration allows one request or transaction.
+	// Bounds returns the configured bounds of one request or transaction.
 	Bounds() Bounds
 }
 
-// Bounds of one request or transaction.
+// Bounds are the limits of one request or transaction.
 type Bounds struct {
-	// TransactionIdle is how long a transaction may sit idle.
+	// TransactionIdle is how long a transaction may be idle.
 	TransactionIdle time.Duration
-	// ResultBytes is the largest answer.
+	// ResultBytes is the maximum size of an answer.
 	ResultBytes int
 }
 
-// Entries tells which entries have gone, and asks one that is silent.
+// Entries reports which entries have ended, and queries those that send nothing.
 type Entries interface {
-	// Gone reports whether the VM is dead, or has been started anew since.
+	// Gone reports whether the VM is dead or has restarted since this incarnation.
 	Gone(id topology.VMID, incarnation topology.Incarnation) bool
-	// Ask sends the VM a sign of life to answer; what comes of it shows in Gone.
+	// Ask sends the VM a message that it must answer; Gone reflects the outcome.
 	Ask(ctx context.Context, id topology.VMID)
 }
 
@@ -79,54 +86,57 @@
 	Connections int
 }
 
-// Options of a Pooler.
+// Options are the options of a Pooler.
 type Options struct {
 	Dialer    Dialer
 	Directory Directory
 	Clock     mono.Clock
 	Log       *slog.Logger
-	// FirstCome serves requests in the order of their arrival: a baseline.
+	// FirstCome serves requests in the order of their arrival. It serves as a baseline
+	// for comparisons.
 	FirstCome bool
-	// Entries may be nil: then only the idle time-out ends abandoned transactions.
+	// Entries may be nil; then only the idle time-out ends abandoned transactions.
 	Entries Entries
 	// Metrics may be nil.
 	Metrics *metrics.Pooler
 }
 
-// Pooler serves the other VMs' requests to its targets. Safe for concurrent use.
+// Pooler serves requests that other VMs forward to its targets. Safe for concurrent
+// use.
 type Pooler struct {
-	o        Options
-	rights   Rights
-	evidence Evidence
-	flights  flights
+	o                Options
+	rights           Rights
+	evidence         Evidence
+	inFlightRequests inFlightRequests
 
 	mu    sync.Mutex
 	pools map[topology.TargetID]*targetPool
 }
 
-// targetPool is one target: its connections, its queue and its control connection.
+// targetPool holds the connections, the queue and the control connection of one
+// target.
 type targetPool struct {
 	*pool
-	gate    *gate
-	floors  *sessionFloors
-	control *Control
-	watch   *replicaWatch
-	work    work
+	gate           *gate
+	floors         *sessionFloors
+	control        *Control
+	watch          *replicaWatch
+	requestCounter requestCounter
 }
 
-// New makes a pooler; pools open on first use.
+// New returns a pooler. The pool of a target is created on first use.
 func New(o Options) *Pooler {
 	return &Pooler{o: o, pools: map[topology.TargetID]*targetPool{}}
 }
 
-// Guard names what guards the pooler's primaries; it is called once, before the
-// first request.
+// Guard sets the rights that are checked for requests to primaries, and the receiver
+// of evidence. It must be called once, before the first request.
 func (p *Pooler) Guard(r Rights, e Evidence) {
 	p.rights = r
 	p.evidence = e
 }
 
-// pool returns the target's pool, making it on first use.
+// pool returns the target's pool, and creates it on first use.
 func (p *Pooler) pool(id topology.TargetID) (*targetPool, *result.Error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -157,10 +167,10 @@
 	return tp.control, nil
 }
 
-// Sweep closes what has been idle too long and puts changed limits in force; the
-// daemon calls it each second.
+// Sweep ends transactions and closes connections that have been idle too long, and
+// applies changed limits. The daemon calls it every second.
 func (p *Pooler) Sweep(now time.Time) {
-	for _, tp := range p.all() {
+	for _, tp := range p.targetPools() {
 		p.sweepEntries(tp, now)
 		tp.sweep(now, p.o.Directory.Bounds().TransactionIdle)
 		tp.floors.tick()
@@ -169,17 +179,18 @@
 	}
 }
 
-// Tick answers requests whose deadline has passed in a queue, and those that a
-// replaced primary will not answer.
+// Tick ends the requests that can't be answered any more: those whose deadline has
+// passed in a queue, those at a replaced primary, and those whose connection is
+// silent.
 func (p *Pooler) Tick() {
-	p.flights.cut(p.o.Directory)
+	p.inFlightRequests.interruptSuperseded(p.o.Directory)
 	p.findSilent(time.Now())
-	for _, tp := range p.all() {
+	for _, tp := range p.targetPools() {
 		tp.gate.tick()
 	}
 }
 
-func (p *Pooler) all() []*targetPool {
+func (p *Pooler) targetPools() []*targetPool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	pools := make([]*targetPool, 0, len(p.pools))
@@ -189,25 +200,25 @@
 	return pools
 }
 
-// Close ends all idle connections.
+// Close closes all idle connections and control connections.
 func (p *Pooler) Close() {
-	for _, tp := range p.all() {
+	for _, tp := range p.targetPools() {
 		tp.closeAll()
 		tp.control.Close()
 	}
 }
 
-// Execute implements peerpb.Pooler. Results travel in the answer; a Twirp error
-// means that the hop itself failed.
+// Execute implements peerpb.Pooler. Failures of the request are returned in the
+// response; a Twirp error means that the hop itself failed.
 func (p *Pooler) Execute(ctx context.Context, req *peerpb.ExecuteRequest) (*peerpb.ExecuteResponse, error) {
-	// The entry's own time-out must not cut the request here: a write under way
-	// is answered or known to be unknown by its deadline, not by its hop.
+	// The context of the hop must not end the request: a write that is running is
+	// answered, or reported as unknown, by its own deadline.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Duration(req.DeadlineMs)*time.Millisecond)
 	defer cancel()
 	resp := &peerpb.ExecuteResponse{HopId: req.HopId}
-	ctx, f := p.flights.begin(ctx, flightKey{req.Entry, req.EntryIncarnation, req.HopId})
-	defer p.flights.end(f)
-	if err := f.explain(p.execute(ctx, f, req, resp)); err != nil {
+	ctx, f := p.inFlightRequests.begin(ctx, inFlightKey{req.Entry, req.EntryIncarnation, req.HopId})
+	defer p.inFlightRequests.end(f)
+	if err := f.asCancelled(p.execute(ctx, f, req, resp)); err != nil {
 		resp.Failure = peers.Failure(err)
 		resp.Messages = nil
 	}
@@ -215,8 +226,8 @@
 	return resp, nil
 }
 
-// logExecuted writes a line that the entry's line of the same hop joins: entry
-// and hop name the request on both VMs.
+// logExecuted logs the request. The entry logs the same hop; entry and hop identify
+// the request in the logs of both VMs.
 func (p *Pooler) logExecuted(ctx context.Context, req *peerpb.ExecuteRequest, resp *peerpb.ExecuteResponse) {
 	if p.o.Log == nil || !p.o.Log.Enabled(ctx, slog.LevelDebug) {
 		return
@@ -225,9 +236,9 @@
 		"code", resp.GetFailure().GetCode(), "queue_us", resp.QueueUs, "run_us", resp.RunUs)
 }
 
-// ReadPosition implements peerpb.Pooler. The right is checked after the target
-// has answered: while it is valid no later term has acknowledged anything, so
-// the position covers every write acknowledged before the fetch began.
+// ReadPosition implements peerpb.Pooler. The right is checked after the target has
+// answered. While the right is valid, no later term has acknowledged anything, so the
+// position covers every write that was acknowledged before the call began.
 func (p *Pooler) ReadPosition(ctx context.Context, req *peerpb.PositionRequest) (*peerpb.PositionResponse, error) {
 	resp := &peerpb.PositionResponse{}
 	tp, failure := p.pool(topology.TargetID(req.Target))
--- a/internal/pooler/queue_test.go
+++ b/internal/pooler/queue_test.go
@@ -17,7 +17,7 @@
 		return answered
 	}
 
-	It("is told with the answer as it leaves", func() {
+	It("is reported as of the time when the answer is sent", func() {
 		b := newBench()
 		b.limits.Slots = 1
 		first := start(b, b.request("write", "select pg_sleep(0.5)"))
@@ -30,9 +30,9 @@
 		Expect(resp.QueueLength).To(BeNumerically(">=", 2))
 	})
 
-	// The caller is refused when its request can't run by its deadline any more,
-	// and not later; it is told that it has not run and when to come back.
-	It("refuses what can't run in time", func() {
+	// The caller is refused as soon as its request can no longer run by its deadline. The
+	// refusal says that the request has not run and when to retry.
+	It("refuses a request that can't run by its deadline", func() {
 		b := newBench()
 		b.limits.Slots = 1
 		start(b, b.request("write", "select pg_sleep(2)"))
--- a/internal/pooler/replicawatch.go
+++ b/internal/pooler/replicawatch.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// watchPeriod between two looks at the replicas' positions, while a commit
-	// waits for them.
-	watchPeriod = time.Millisecond
-	// watchTimeout of one look.
+	// watchInterval is the pause between two queries of the replicas' positions while a
+	// commit waits for them.
+	watchInterval = time.Millisecond
+	// watchTimeout bounds one query.
 	watchTimeout = 500 * time.Millisecond
 )
 
-// replicaWatch asks a primary for its replicas' positions while somebody waits
-// for them: one question at a time for all. Safe for concurrent use.
+// replicaWatch polls a primary for its replicas' positions while requests wait for
+// them. All waiting requests share one poll. Safe for concurrent use.
 type replicaWatch struct {
 	mu      sync.Mutex
 	waiters int
@@ -26,7 +26,7 @@
 
 func newReplicaWatch() *replicaWatch { return &replicaWatch{changed: make(chan struct{})} }
 
-// join begins a wait; the caller ends it by the returned function.
+// join begins a wait, which the caller ends with the returned function.
 func (w *replicaWatch) join(c *Control) (leave func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -42,7 +42,7 @@
 	}
 }
 
-// latest returns the newest status and a channel that closes with the next one.
+// latest returns the newest status and a channel that is closed after the next query.
 func (w *replicaWatch) latest() (TargetStatus, <-chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -50,17 +50,17 @@
 }
 
 func (w *replicaWatch) run(c *Control) {
-	for w.wanted() {
+	for w.hasWaiters() {
 		ctx, cancel := context.WithTimeout(context.Background(), watchTimeout)
 		status, err := c.Status(ctx)
 		cancel()
 		w.publish(status, err)
-		time.Sleep(watchPeriod)
+		time.Sleep(watchInterval)
 	}
 }
 
-// wanted ends the loop when nobody waits.
-func (w *replicaWatch) wanted() bool {
+// hasWaiters reports whether any request waits; if none does, the poll loop must end.
+func (w *replicaWatch) hasWaiters() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.waiters == 0 {
@@ -69,7 +69,8 @@
 	return w.running
 }
 
-// publish wakes the waiters, after a failure too: their right may have changed.
+// publish stores the status and wakes the waiting requests. It wakes them after a
+// failed query too, because their right may have changed.
 func (w *replicaWatch) publish(status TargetStatus, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/pooler/silent.go
+++ b/internal/pooler/silent.go
@@ -9,31 +9,32 @@
 )
 
 const (
-	// silentAfter is how long an exchange lasts before its target is asked, on a
-	// new connection, whether it still works on it.
-	silentAfter = 500 * time.Millisecond
-	// silentLook is the time between the two looks: an answer that is on its way
-	// at the first has come by the second.
-	silentLook = 100 * time.Millisecond
+	// silenceThreshold is how long an exchange lasts before its target is asked, on a
+	// new connection, whether it is still running the statement.
+	silenceThreshold = 500 * time.Millisecond
+	// silenceRecheckDelay is the time between the two checks. An answer in transit at the first
+	// has arrived by the second.
+	silenceRecheckDelay = 100 * time.Millisecond
 )
 
-// findSilent finds exchanges whose connection something between the two ends has
-// lost track of. The target answers on a new connection and runs nothing for the
-// old one, yet no answer has come: it never will. The caller is told at once
-// instead of at its deadline, which may be minutes away. A target that does not
-// answer is left to the failure detector, and a slow statement to its deadline.
+// findSilent checks for exchanges whose connection state was lost between the two
+// ends, by a firewall or NAT for example. If the target answers on a new connection
+// and runs no statement for the old one, an answer that has not arrived never will.
+// The caller is told at once instead of at its deadline, which may be minutes away. A
+// target that does not answer is left to the failure detector, and a slow statement to
+// its deadline.
 func (p *Pooler) findSilent(now time.Time) {
-	for _, f := range p.flights.list() {
+	for _, f := range p.inFlightRequests.list() {
 		if target, ok := f.beginCheck(now); ok {
 			go p.checkSilent(f, target)
 		}
 	}
 }
 
-// discardLost closes a connection whose answer did not come, and has its target
-// end it too. Where the path between went silent the target hears nothing of the
-// close: the transaction would keep its locks, and whoever asks for its outcome
-// would wait for them.
+// discardLost closes a connection whose answer did not arrive, and has its target
+// close it too. If the network path is broken, the target does not receive the close;
+// the transaction would keep its locks, and a request that asks for its outcome would
+// wait for them.
 func (p *Pooler) discardLost(tp *targetPool, c *conn, failure *result.Error) {
 	tp.discard(c)
 	if failure.Code != result.TargetSilent {
@@ -48,29 +49,29 @@
 	}()
 }
 
-// exchangeOf is what a check is about.
-type exchangeOf struct {
+// exchangeRef identifies the exchange that a check is about.
+type exchangeRef struct {
 	conn    *conn
 	target  topology.TargetID
 	address string
 }
 
-func (f *flight) beginCheck(now time.Time) (exchangeOf, bool) {
+func (f *inFlightRequest) beginCheck(now time.Time) (exchangeRef, bool) {
 	if !f.mu.TryLock() {
-		return exchangeOf{}, false // A cancel request is on its way.
+		return exchangeRef{}, false // A cancel request is being delivered.
 	}
 	defer f.mu.Unlock()
-	if f.conn == nil || f.checking || now.Sub(f.since) < silentAfter {
-		return exchangeOf{}, false
+	if f.conn == nil || f.checking || now.Sub(f.since) < silenceThreshold {
+		return exchangeRef{}, false
 	}
 	f.checking = true
-	return exchangeOf{conn: f.conn, target: f.target, address: f.address}, true
+	return exchangeRef{conn: f.conn, target: f.target, address: f.address}, true
 }
 
-func (p *Pooler) checkSilent(f *flight, e exchangeOf) {
+func (p *Pooler) checkSilent(f *inFlightRequest, e exchangeRef) {
 	idle := p.idleAtTarget(e)
 	if idle {
-		time.Sleep(silentLook)
+		time.Sleep(silenceRecheckDelay)
 		idle = p.idleAtTarget(e)
 	}
 	f.endCheck(e.conn, idle)
@@ -79,8 +80,9 @@
 	}
 }
 
-// idleAtTarget asks on a new connection.
-func (p *Pooler) idleAtTarget(e exchangeOf) bool {
+// idleAtTarget reports whether the target, queried on a new connection, runs no
+// statement on the exchange's connection. It is false if the target does not answer.
+func (p *Pooler) idleAtTarget(e exchangeRef) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), connectTimeout)
 	defer cancel()
 	s, _, err := Probe(ctx, p.o.Dialer, e.address)
@@ -91,7 +93,7 @@
 	return s.Active != nil && !s.Active[e.conn.pid]
 }
 
-func (f *flight) endCheck(c *conn, silent bool) {
+func (f *inFlightRequest) endCheck(c *conn, silent bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.checking = false
--- a/internal/pooler/suite_test.go
+++ b/internal/pooler/suite_test.go
@@ -32,21 +32,22 @@
 	theGroup  = topology.GroupID("s/g")
 )
 
-// bench is a pooler in front of one database, and what the test says of both.
+// bench is a pooler in front of one database, with the configuration of both. It
+// implements the interfaces that the pooler needs.
 type bench struct {
 	db      *database.Database
 	pooler  *pooler.Pooler
-	address string // where the pooler finds the database
+	address string // address at which the pooler connects to the database
 	row     *topology.Group
 	bounds  pooler.Bounds
 	limits  pooler.TargetLimits
 	hop     atomic.Uint64
 	doubts  atomic.Int32
-	// rights, if set, answers in place of a right that always stands.
+	// rights, if set, replaces the default of Right, which always grants the right.
 	rights func(topology.GroupID, uint64) (authority.Right, *result.Error)
 }
 
-// newBench starts the primary of term 1.
+// newBench starts a database as the primary of term 1, and a pooler in front of it.
 func newBench() *bench {
 	db, err := database.New(database.Config{ID: string(theTarget)})
 	Expect(err).NotTo(HaveOccurred())
@@ -93,7 +94,7 @@
 func (b *bench) Answered(topology.TargetID, time.Duration)   {}
 func (b *bench) Doubted(topology.TargetID)                   { b.doubts.Add(1) }
 
-// request makes one of a simple query.
+// request returns a request of the class with one simple query.
 func (b *bench) request(class, sql string) *peerpb.ExecuteRequest {
 	messages, err := (&pgproto3.Query{String: sql}).Encode(nil)
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/pooler/transaction_test.go
+++ b/internal/pooler/transaction_test.go
@@ -14,8 +14,9 @@
 const upsert = "insert into quota (k, v) values ('a', '1') on conflict (k) do update set v = excluded.v"
 
 var _ = Describe("Transactions at the pooler", func() {
-	// The caller's statement goes to the transaction that its retry opened. The
-	// entry gave its first attempt up; that one opened a transaction, too.
+	// An entry abandons its first attempt to open a transaction and retries, but the first
+	// attempt opens a transaction too. The caller's statements must go to the transaction
+	// that the retry opened.
 	It("keeps an abandoned attempt apart from its retry", func() {
 		b := newBench()
 		first, retry := b.request("write", "begin"), b.request("write", "begin")
@@ -31,9 +32,10 @@
 		Expect(b.pooler.Running(theTarget)).To(BeZero())
 	})
 
-	// The session goes while its statement runs. Its connection is closed, and its
-	// place given back once: twice would let the pool open one too many.
-	It("frees a busy transaction's place once", func() {
+	// The session ends while its statement runs. Its connection is closed and must be
+	// subtracted from the open ones only once: otherwise the pool would open one connection
+	// too many.
+	It("counts the connection of an abandoned busy transaction as closed once", func() {
 		b := newBench()
 		b.limits.Connections = 1
 		begin := b.request("write", "begin")
@@ -52,9 +54,9 @@
 		Expect(code(b.execute(b.request("write", upsert)))).To(Equal(result.ConnectionsInUse))
 	})
 
-	// All connections are held by open transactions. The caller is refused at once
-	// and may trust that its request has not run; a commit frees a place.
-	It("refuses cleanly when transactions hold all connections", func() {
+	// Open transactions hold all connections. The caller is refused at once with the result
+	// "not run"; a commit frees a connection for the next request.
+	It("refuses a request as not run while transactions hold all connections", func() {
 		b := newBench()
 		var begun []*peerpb.ExecuteRequest
 		for range b.limits.Connections {
