--- a/internal/pgwire/fuzz_test.go
+++ b/internal/pgwire/fuzz_test.go
@@ -8,7 +8,7 @@
 	"github.com/buckthornshore/buckthornshore/internal/pgwire"
 )
 
-// limit of the fuzzed answers in bytes.
+// limit is the maximum size of a fuzzed answer, in bytes.
 const limit = 1 << 12
 
 func seeds(f *testing.F) {
@@ -20,8 +20,8 @@
 	f.Add([]byte("1\x00\x00\x00\x04C\x00\x00\x00\x0bSET\x00\x00\x00\x00"))
 }
 
-// FuzzAppend: what Append takes from a stream, Split finds again as the same
-// frames; the buffer stays within its limit.
+// FuzzAppend checks that Split finds as many frames as Append read from the stream,
+// that the buffer holds the bytes of the stream, and that it stays within its limit.
 func FuzzAppend(f *testing.F) {
 	seeds(f)
 	f.Fuzz(func(t *testing.T, stream []byte) {
@@ -40,15 +40,16 @@
 			frames++
 		}
 		if !bytes.HasPrefix(stream, buf) {
-			t.Fatal("the frames are not the stream's")
+			t.Fatal("the buffer is not a prefix of the stream")
 		}
 		if err := pgwire.Split(buf, func(pgwire.Frame) error { frames--; return nil }); err != nil || frames != 0 {
-			t.Fatalf("split: %v, %d frames apart", err, frames)
+			t.Fatalf("split: %v, number of frames differs by %d", err, frames)
 		}
 	})
 }
 
-// FuzzSplit: the frames found are the input, and SQLState takes any body.
+// FuzzSplit checks that the frames found, joined, equal the input, and that SQLState
+// does not panic on any body.
 func FuzzSplit(f *testing.F) {
 	seeds(f)
 	f.Fuzz(func(t *testing.T, buf []byte) {
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -1,5 +1,6 @@
-// Package pgwire holds what entry and pooler share about the PostgreSQL
-// protocol: raw frames, which pass through unread, and errors with result codes.
+// Package pgwire implements the parts of the PostgreSQL protocol that the entry and
+// the pooler share: raw frames, which are passed through without decoding, and errors
+// with result codes.
 package pgwire
 
 import (
@@ -14,10 +15,10 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// headerLength of a frame: its type and its length, which counts itself.
+// The header of a frame is its type and its length; the length counts itself.
 const (
-	headerLength = 5
-	lengthLength = 4
+	headerLength = 5 // bytes
+	lengthLength = 4 // bytes
 )
 
 // ErrFrameTooLarge is returned for a frame above the caller's limit.
@@ -26,7 +27,7 @@
 // ErrBadFrame is returned for a frame whose length is impossible.
 var ErrBadFrame = errors.New("pgwire: bad frame")
 
-// Types of the backend frames that the pooler looks into.
+// Types of the backend frames that the pooler inspects.
 const (
 	TypeParameterStatus = 'S'
 	TypeReadyForQuery   = 'Z'
@@ -47,7 +48,7 @@
 	TypeNotification    = 'A'
 )
 
-// Transaction states in ReadyForQuery.
+// Transaction status values of ReadyForQuery.
 const (
 	Idle          byte = 'I'
 	InTransaction byte = 'T'
@@ -63,8 +64,8 @@
 // Body returns the message without its header.
 func (f Frame) Body() []byte { return f[headerLength:] }
 
-// Append reads one frame from r and appends it to buf, whose length stays at or
-// below limit bytes. It returns the grown buffer and the frame within it.
+// Append reads one frame from r and appends it to buf, whose length does not exceed
+// limit bytes. It returns the grown buffer and the frame within it.
 func Append(r *bufio.Reader, buf []byte, limit int) ([]byte, Frame, error) {
 	head, err := r.Peek(headerLength)
 	if err != nil {
@@ -85,7 +86,8 @@
 	return buf, Frame(buf[start:]), nil
 }
 
-// Split calls each for every whole frame in buf.
+// Split calls each for every frame in buf. It returns ErrBadFrame if buf has an
+// incomplete or malformed frame.
 func Split(buf []byte, each func(Frame) error) error {
 	for len(buf) > 0 {
 		if len(buf) < headerLength {
@@ -103,7 +105,8 @@
 	return nil
 }
 
-// SQLState returns the state of an ErrorResponse frame, or "".
+// SQLState returns the SQLSTATE of an ErrorResponse frame, or "" if the frame can't be
+// decoded.
 func SQLState(f Frame) string {
 	var e pgproto3.ErrorResponse
 	if err := e.Decode(f.Body()); err != nil {
@@ -118,11 +121,11 @@
 	SeverityFatal = "FATAL"
 )
 
-// StateCancelled is PostgreSQL's state of a statement that its caller cancelled.
+// StateCancelled is PostgreSQL's SQLSTATE query_canceled.
 const StateCancelled = "57014"
 
-// stateOf returns the result code as a state, but for the one that clients wait
-// for after a cancel request.
+// stateOf returns the SQLSTATE for a result code. It is the code itself, except for a
+// cancelled request, for which clients expect PostgreSQL's own state.
 func stateOf(c result.Code) string {
 	if c == result.Cancelled {
 		return StateCancelled
@@ -130,8 +133,8 @@
 	return c.SQLState()
 }
 
-// ErrorResponse turns a result into what a PostgreSQL client understands: the
-// state is the result code, the hint tells when to come back.
+// ErrorResponse converts a result to a PostgreSQL ErrorResponse. Its SQLSTATE is the
+// result code, and its hint is the delay before a retry, in milliseconds.
 func ErrorResponse(e *result.Error, severity string) *pgproto3.ErrorResponse {
 	resp := &pgproto3.ErrorResponse{
 		Severity:            severity,
