--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -1,9 +1,10 @@
-// Package stall bounds how long the other side of an HTTP call may be silent.
+// Package stall bounds how long the server of an HTTP call may send nothing.
 //
-// A limit on the whole call ends one whose answer is large, or whose link is narrow, however well
-// it goes; made again from the start it meets the same limit, and what each try carries fills the
-// link. Silence tells a connection that is dead from one that is slow: a call on the one ends
-// within the limit, and on the other it goes on for as long as something comes.
+// A time-out for the whole call would also end a call that makes progress, if its response is
+// large or its link is slow. A retry would start again, meet the same time-out, and load the link
+// with the same data. A limit on the time without data tells a dead connection from a slow one: a
+// call on a dead connection ends within the limit, and a call on a slow one continues for as long
+// as data arrives.
 package stall
 
 import (
@@ -15,33 +16,33 @@
 	"time"
 )
 
-// Limits on the silence of a call.
+// Limits are the limits on the time without data in a call.
 type Limits struct {
-	// First is how long the answer may take to begin, from when the call is made.
+	// First is how long the response header may take, from the start of the call.
 	First time.Duration
-	// Next is how long the answer may then pause, again and again.
+	// Next is how long each read of the response body may take.
 	Next time.Duration
 }
 
-// Error ends a call whose other side was silent for too long. It is a timeout to those that ask.
+// Error is the error of a call whose server sent nothing for too long. It is a timeout error.
 type Error struct {
-	// Silent is the limit that passed.
+	// Silent is the limit that was exceeded.
 	Silent time.Duration
-	// ended is how the call failed then, which tells whether it was sent; nil: while its answer
-	// was read.
-	ended error
+	// cause is the error with which the call then failed, from which a caller can tell whether
+	// the request was sent. It is nil if the call ended while its response was read.
+	cause error
 }
 
 // Error implements error.
 func (e *Error) Error() string {
-	if e.ended == nil {
-		return fmt.Sprintf("nothing came for %v", e.Silent)
+	if e.cause == nil {
+		return fmt.Sprintf("no data received for %v", e.Silent)
 	}
-	return fmt.Sprintf("nothing came for %v: %v", e.Silent, e.ended)
+	return fmt.Sprintf("no data received for %v: %v", e.Silent, e.cause)
 }
 
-// Unwrap returns how the call failed.
-func (e *Error) Unwrap() error { return e.ended }
+// Unwrap returns the error with which the call failed.
+func (e *Error) Unwrap() error { return e.cause }
 
 // Timeout implements net.Error.
 func (*Error) Timeout() bool { return true }
@@ -49,20 +50,21 @@
 // Temporary implements net.Error.
 func (*Error) Temporary() bool { return true }
 
-// Is makes the error one of a deadline that has passed.
+// Is reports whether target is context.DeadlineExceeded, which the error counts as.
 func (*Error) Is(target error) bool { return target == context.DeadlineExceeded }
 
 type limitsKey struct{}
 
-// With has a call that is made with the context through a Transport keep to the limits.
+// With returns a context that sets the limits of calls made with it through a Transport.
 func With(ctx context.Context, l Limits) context.Context {
 	return context.WithValue(ctx, limitsKey{}, l)
 }
 
-// Transport ends calls whose other side is silent.
+// Transport is an http.RoundTripper that ends calls whose server sends nothing for too long.
 type Transport struct {
 	Base http.RoundTripper
-	// Default limits calls whose context names no others; zero: they are not limited.
+	// Default applies to calls whose context sets no limits. If it is zero, those calls are not
+	// limited.
 	Default Limits
 }
 
@@ -77,58 +79,59 @@
 	}
 	ctx, cancel := context.WithCancelCause(r.Context())
 	w := &watch{ctx: ctx, cancel: cancel}
-	begins := w.after(limits.First)
+	headerTimer := w.after(limits.First)
 	response, err := t.Base.RoundTrip(r.WithContext(ctx))
-	begins.Stop()
+	headerTimer.Stop()
 	if err != nil {
 		err = w.explain(err)
 		cancel(nil)
 		return nil, err
 	}
-	goesOn := w.after(limits.Next)
-	goesOn.Stop()
-	response.Body = &body{ReadCloser: response.Body, watch: w, next: limits.Next, timer: goesOn}
+	readTimer := w.after(limits.Next)
+	readTimer.Stop()
+	response.Body = &body{ReadCloser: response.Body, watch: w, readLimit: limits.Next, timer: readTimer}
 	return response, nil
 }
 
-// CloseIdleConnections closes those of the base, for http.Client.
+// CloseIdleConnections closes the idle connections of Base. http.Client calls it.
 func (t *Transport) CloseIdleConnections() {
 	if c, ok := t.Base.(interface{ CloseIdleConnections() }); ok {
 		c.CloseIdleConnections()
 	}
 }
 
-// watch ends one call when it was silent for too long.
+// watch ends one call when no data has arrived for too long.
 type watch struct {
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 }
 
-// after returns a timer that ends the call.
+// after returns a timer that ends the call when limit has passed.
 func (w *watch) after(limit time.Duration) *time.Timer {
 	return time.AfterFunc(limit, func() { w.cancel(&Error{Silent: limit}) })
 }
 
-// explain tells an end by the watch from any other.
+// explain returns an Error if the watch ended the call, and err unchanged otherwise.
 func (w *watch) explain(err error) error {
-	var told, stalled *Error
-	if errors.As(err, &told) || !errors.As(context.Cause(w.ctx), &stalled) {
+	var existing, stalled *Error
+	if errors.As(err, &existing) || !errors.As(context.Cause(w.ctx), &stalled) {
 		return err
 	}
-	return &Error{Silent: stalled.Silent, ended: err}
+	return &Error{Silent: stalled.Silent, cause: err}
 }
 
-// body is an answer that is watched while it is waited for, and not while it is worked on.
+// body is a response body whose reads are limited in time. The time between two reads, which the
+// reader takes for its own work, is not.
 type body struct {
 	io.ReadCloser
 	*watch
-	next  time.Duration
-	timer *time.Timer
+	readLimit time.Duration
+	timer     *time.Timer
 }
 
 // Read implements io.Reader.
 func (b *body) Read(p []byte) (int, error) {
-	b.timer.Reset(b.next)
+	b.timer.Reset(b.readLimit)
 	n, err := b.ReadCloser.Read(p)
 	b.timer.Stop()
 	if err != nil && !errors.Is(err, io.EOF) {
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -18,7 +18,7 @@
 
 var limits = stall.Limits{First: limit, Next: limit}
 
-// call makes one call under the limits and reads its whole answer.
+// call makes one call to handler through the transport and reads the whole response body.
 func call(ctx context.Context, t *testing.T, transport *stall.Transport, handler http.HandlerFunc) (string, error) {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -36,7 +36,8 @@
 	return string(answer), err
 }
 
-// parts answers in parts, each after a pause, and then waits until hold is closed.
+// parts returns a handler that sends n parts, each after a pause, and then waits until hold is
+// closed.
 func parts(n int, pause time.Duration, hold <-chan struct{}) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		for range n {
@@ -51,24 +52,24 @@
 	}
 }
 
-var released = func() chan struct{} {
+var closedChannel = func() chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }()
 
-// An answer takes six times the limit, and never pauses for as long as it.
-func TestAnAnswerThatGoesOnComingIsNotLimited(t *testing.T) {
+// A response takes six times the limit in total, with pauses of a quarter of the limit.
+func TestResponseThatKeepsArrivingIsNotLimited(t *testing.T) {
 	const n = 24
-	answer, err := call(stall.With(context.Background(), limits), t, &stall.Transport{Base: http.DefaultTransport}, parts(n, limit/4, released))
+	answer, err := call(stall.With(context.Background(), limits), t, &stall.Transport{Base: http.DefaultTransport}, parts(n, limit/4, closedChannel))
 	if err != nil || answer != strings.Repeat("x", n) {
 		t.Fatalf("%q %v", answer, err)
 	}
 }
 
-// The other side is silent before its answer, or in the middle of it. The call ends soon after
-// the limit, as a timeout.
-func TestASilentCallEnds(t *testing.T) {
+// The server sends nothing at all, or stops in the middle of its response. The call must end soon
+// after the limit, with a timeout error.
+func TestSilentCallTimesOut(t *testing.T) {
 	for _, sent := range []int{0, 2} {
 		began := time.Now()
 		answer, err := call(stall.With(context.Background(), limits), t, &stall.Transport{Base: http.DefaultTransport}, parts(sent, 0, nil))
@@ -83,8 +84,8 @@
 	}
 }
 
-// Whoever made the call gives it up: that is no silence of the other side.
-func TestACallThatIsGivenUpDidNotStall(t *testing.T) {
+// The caller cancels the call: the error must not be a stall.
+func TestCancelledCallIsNotAStall(t *testing.T) {
 	ctx, cancel := context.WithCancel(stall.With(context.Background(), limits))
 	time.AfterFunc(limit/4, cancel)
 	_, err := call(ctx, t, &stall.Transport{Base: http.DefaultTransport}, parts(1, 0, nil))
@@ -94,9 +95,9 @@
 	}
 }
 
-// The reader takes longer over a part than the other side may be silent.
-func TestASlowReaderIsNotASilentSender(t *testing.T) {
-	server := httptest.NewServer(parts(3, 0, released))
+// The reader pauses between two reads for longer than the limit; the call must not end.
+func TestSlowReaderIsNotAStall(t *testing.T) {
+	server := httptest.NewServer(parts(3, 0, closedChannel))
 	defer server.Close()
 	client := http.Client{Transport: &stall.Transport{Base: http.DefaultTransport, Default: limits}}
 	response, err := client.Get(server.URL)
@@ -110,9 +111,9 @@
 	}
 }
 
-// A transport without limits leaves calls alone; its default holds where the context names none.
-func TestTheDefaultHoldsWhereNothingElseIsSaid(t *testing.T) {
-	slow := parts(1, 2*limit, released)
+// A transport without limits does not end calls; its default applies if the context sets none.
+func TestDefaultAppliesWithoutLimitsInContext(t *testing.T) {
+	slow := parts(1, 2*limit, closedChannel)
 	if answer, err := call(context.Background(), t, &stall.Transport{Base: http.DefaultTransport}, slow); err != nil || answer != "x" {
 		t.Fatalf("%q %v", answer, err)
 	}
