--- a/internal/daemon/configkeeper.go
+++ b/internal/daemon/configkeeper.go
@@ -213,7 +213,7 @@
 }
 
 func (b blobSource) fromPeer(ctx context.Context, vm topology.VM, name string) ([]byte, bool) {
-	ctx = stall.With(ctx, stall.Limits{First: blobTimeout, Next: blobTimeout})
+	ctx = stall.With(ctx, stall.Limits{HeaderTimeout: blobTimeout, ReadTimeout: blobTimeout})
 	resp, err := b.keeper.peers.Get(vm).Blob(ctx, &peerpb.BlobRequest{Name: name})
 	if err != nil || !resp.Found {
 		return nil, false
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -104,7 +104,7 @@
 	silence := s.PlatformTimeout.Std()
 	client := &http.Client{Transport: &stall.Transport{
 		Base:    &http.Transport{DialContext: d.DialContext},
-		Default: stall.Limits{First: silence, Next: silence},
+		Default: stall.Limits{HeaderTimeout: silence, ReadTimeout: silence},
 	}}
 	return platform.NewRemote(s.PlatformURL, string(s.VM), client)
 }
@@ -209,6 +209,6 @@
 	sink.driver = driver
 	sink.keeper = keeper
 	sink.entry = e
-	p.Guard(driver, driver)
+	p.SetRights(driver, driver)
 	driver.OnAssigned(r.tick)
 }
--- a/internal/daemon/leaver.go
+++ b/internal/daemon/leaver.go
@@ -131,8 +131,8 @@
 		return row.Term, nil
 	}
 	begun := time.Now()
-	l.pooler.Pause(row.Primary, true)
-	defer l.pooler.Pause(row.Primary, false)
+	l.pooler.SetPaused(row.Primary, true)
+	defer l.pooler.SetPaused(row.Primary, false)
 	if !poll(ctx, finishTime, func() bool { return l.pooler.Running(row.Primary) == 0 }) {
 		return 0, result.New(result.TooManyInFlight, "%s: %d requests or transactions did not end", row.Primary, l.pooler.Running(row.Primary))
 	}
--- a/internal/failover/handover_test.go
+++ b/internal/failover/handover_test.go
@@ -83,7 +83,7 @@
 	}
 	log := slog.New(slog.DiscardHandler)
 	p := pooler.New(pooler.Options{Dialer: s, Directory: s, Clock: mono.System{}, Log: log})
-	p.Guard(s, s)
+	p.SetRights(s, s)
 	DeferCleanup(p.Close)
 	d := New(Options{Directory: s, Pooler: p, Doubt: s, Clock: mono.System{}, Authority: authority.DefaultOptions(), Log: log})
 	return s, p, d
--- a/internal/pooler/leaving.go
+++ b/internal/pooler/leaving.go
@@ -62,9 +62,9 @@
 	return nil
 }
 
-// Pause sets whether new requests to the target are refused with Leaving. While they
+// SetPaused sets whether new requests to the target are refused with Leaving. While they
 // are, accepted requests and open transactions run to their end.
-func (p *Pooler) Pause(id topology.TargetID, paused bool) {
+func (p *Pooler) SetPaused(id topology.TargetID, paused bool) {
 	if tp, failure := p.pool(id); failure == nil {
 		tp.requestCounter.pause(paused)
 	}
--- a/internal/pooler/pooler.go
+++ b/internal/pooler/pooler.go
@@ -129,9 +129,9 @@
 	return &Pooler{o: o, pools: map[topology.TargetID]*targetPool{}}
 }
 
-// Guard sets the rights that are checked for requests to primaries, and the receiver
+// SetRights sets the rights that are checked for requests to primaries, and the receiver
 // of evidence. It must be called once, before the first request.
-func (p *Pooler) Guard(r Rights, e Evidence) {
+func (p *Pooler) SetRights(r Rights, e Evidence) {
 	p.rights = r
 	p.evidence = e
 }
--- a/internal/pooler/suite_test.go
+++ b/internal/pooler/suite_test.go
@@ -63,7 +63,7 @@
 	}
 	b.limits.Target = topology.Target{ID: theTarget, Group: theGroup, Address: db.Address()}
 	b.pooler = pooler.New(pooler.Options{Dialer: b, Directory: b, Clock: mono.System{}, Log: slog.New(slog.DiscardHandler)})
-	b.pooler.Guard(b, b)
+	b.pooler.SetRights(b, b)
 	DeferCleanup(b.pooler.Close)
 	return b
 }
--- a/internal/relay/follower.go
+++ b/internal/relay/follower.go
@@ -98,7 +98,7 @@
 }
 
 func (f *Follower) poll(ctx context.Context) bool {
-	ctx = stall.With(ctx, stall.Limits{First: pollTimeout, Next: pollTimeout})
+	ctx = stall.With(ctx, stall.Limits{HeaderTimeout: pollTimeout, ReadTimeout: pollTimeout})
 	began := time.Now()
 	rows, revision, err := f.Table.Scan(ctx, "", f.Store.Revision())
 	if err != nil {
@@ -125,7 +125,7 @@
 }
 
 func (f *Follower) watchAt(ctx context.Context, source peerpb.Relay, wait time.Duration) bool {
-	ctx = stall.With(ctx, stall.Limits{First: wait + watchSlack, Next: watchSlack})
+	ctx = stall.With(ctx, stall.Limits{HeaderTimeout: wait + watchSlack, ReadTimeout: watchSlack})
 	resp, err := source.Watch(ctx, &peerpb.WatchRequest{
 		Vm:          string(f.Self.ID),
 		Incarnation: uint64(f.Self.Incarnation),
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -18,16 +18,16 @@
 
 // Limits are the limits on the time without data in a call.
 type Limits struct {
-	// First is how long the response header may take, from the start of the call.
-	First time.Duration
-	// Next is how long each read of the response body may take.
-	Next time.Duration
+	// HeaderTimeout is how long the response header may take, from the start of the call.
+	HeaderTimeout time.Duration
+	// ReadTimeout is how long each read of the response body may take.
+	ReadTimeout time.Duration
 }
 
 // Error is the error of a call whose server sent nothing for too long. It is a timeout error.
 type Error struct {
-	// Silent is the limit that was exceeded.
-	Silent time.Duration
+	// Limit is the limit that was exceeded.
+	Limit time.Duration
 	// cause is the error with which the call then failed, from which a caller can tell whether
 	// the request was sent. It is nil if the call ended while its response was read.
 	cause error
@@ -36,9 +36,9 @@
 // Error implements error.
 func (e *Error) Error() string {
 	if e.cause == nil {
-		return fmt.Sprintf("no data received for %v", e.Silent)
+		return fmt.Sprintf("no data received for %v", e.Limit)
 	}
-	return fmt.Sprintf("no data received for %v: %v", e.Silent, e.cause)
+	return fmt.Sprintf("no data received for %v: %v", e.Limit, e.cause)
 }
 
 // Unwrap returns the error with which the call failed.
@@ -79,7 +79,7 @@
 	}
 	ctx, cancel := context.WithCancelCause(r.Context())
 	w := &watch{ctx: ctx, cancel: cancel}
-	headerTimer := w.after(limits.First)
+	headerTimer := w.after(limits.HeaderTimeout)
 	response, err := t.Base.RoundTrip(r.WithContext(ctx))
 	headerTimer.Stop()
 	if err != nil {
@@ -87,9 +87,9 @@
 		cancel(nil)
 		return nil, err
 	}
-	readTimer := w.after(limits.Next)
+	readTimer := w.after(limits.ReadTimeout)
 	readTimer.Stop()
-	response.Body = &body{ReadCloser: response.Body, watch: w, readLimit: limits.Next, timer: readTimer}
+	response.Body = &body{ReadCloser: response.Body, watch: w, readLimit: limits.ReadTimeout, timer: readTimer}
 	return response, nil
 }
 
@@ -108,7 +108,7 @@
 
 // after returns a timer that ends the call when limit has passed.
 func (w *watch) after(limit time.Duration) *time.Timer {
-	return time.AfterFunc(limit, func() { w.cancel(&Error{Silent: limit}) })
+	return time.AfterFunc(limit, func() { w.cancel(&Error{Limit: limit}) })
 }
 
 // explain returns an Error if the watch ended the call, and err unchanged otherwise.
@@ -117,7 +117,7 @@
 	if errors.As(err, &existing) || !errors.As(context.Cause(w.ctx), &stalled) {
 		return err
 	}
-	return &Error{Silent: stalled.Silent, cause: err}
+	return &Error{Limit: stalled.Limit, cause: err}
 }
 
 // body is a response body whose reads are limited in time. The time between two reads, which the
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -16,7 +16,7 @@
 
 const limit = 200 * time.Millisecond
 
-var limits = stall.Limits{First: limit, Next: limit}
+var limits = stall.Limits{HeaderTimeout: limit, ReadTimeout: limit}
 
 // call makes one call to handler through the transport and reads the whole response body.
 func call(ctx context.Context, t *testing.T, transport *stall.Transport, handler http.HandlerFunc) (string, error) {
