--- a/internal/pooler/floor.go
+++ b/internal/pooler/floor.go
@@ -28,8 +28,8 @@
 	return row != nil && routing.Holds(row, at, floor)
 }
 
-// waitForFloor waits until the target holds the request's floor, for at most the
-// request's FloorWaitMs.
+// waitForFloor waits until the target holds the request's floor. It gives up when
+// the target is still behind after the request's FloorWaitMs.
 func (p *Pooler) waitForFloor(ctx context.Context, tp *targetPool, req *request) *result.Error {
 	floor := peers.Position(req.Floor)
 	if p.holds(req.group, tp.newestPosition(), floor) {
--- a/internal/pooler/in_flight.go
+++ b/internal/pooler/in_flight.go
@@ -43,8 +43,8 @@
 	checking        bool      // set while a check for a silent connection is running
 }
 
-// inFlightRequests holds the in-flight requests. The zero value is ready to use. Safe for
-// concurrent use.
+// inFlightRequests holds the in-flight requests. The zero value is ready to use.
+// Safe for concurrent use.
 type inFlightRequests struct {
 	mu  sync.Mutex
 	all map[inFlightKey]*inFlightRequest
@@ -76,9 +76,9 @@
 	return fs.all[key]
 }
 
-// interruptSuperseded ends the exchanges whose group has moved to a later term. A frozen primary
-// would delay them until their deadlines. Its answer could no longer be
-// acknowledged, so the caller is told at once that the outcome is unknown.
+// interruptSuperseded ends the exchanges whose group has moved to a later term. A
+// frozen primary would delay them until their deadlines. Its answer could no longer
+// be acknowledged, so the caller is told at once that the outcome is unknown.
 func (fs *inFlightRequests) interruptSuperseded(d Directory) {
 	for _, f := range fs.list() {
 		f.interruptIfSuperseded(d)
@@ -133,7 +133,8 @@
 	return !f.cancelMayArrive
 }
 
-// asCancelled replaces the failure of a cancelled request that has not run by Cancelled.
+// asCancelled returns a Cancelled result in place of the failure of a cancelled
+// request that has not run, and any other failure unchanged.
 func (f *inFlightRequest) asCancelled(failure *result.Error) *result.Error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/pooler/ledger.go
+++ b/internal/pooler/ledger.go
@@ -61,9 +61,9 @@
 	return result.New(result.TransactionAborted, "%s: ledger: SQLSTATE %s", req.Target, a.sqlState).After(time.Second)
 }
 
-// endLedgerTransaction commits the transaction of runOnce, or rolls it back after an error. It
-// returns the unit's own answer with the transaction state that the unit would have
-// had without the surrounding transaction.
+// endLedgerTransaction commits the transaction of runOnce, or rolls it back after an
+// error. It returns the unit's own answer with the transaction state that the unit
+// would have had without the surrounding transaction.
 func endLedgerTransaction(ctx context.Context, c *conn, target topology.TargetID, a answer) (answer, *result.Error) {
 	sql := tagCommit
 	if a.status == pgwire.Failed {
--- a/internal/pooler/pool.go
+++ b/internal/pooler/pool.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// takeOrReserve returns an idle connection if there is one. Otherwise mayOpen reports whether
-// a new one may be opened, which is then already counted as open.
+// takeOrReserve returns an idle connection if there is one. Otherwise mayOpen reports
+// whether a new one may be opened, which is then already counted as open.
 func (p *pool) takeOrReserve(want connSettings) (c *conn, mayOpen bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pooler/replicawatch.go
+++ b/internal/pooler/replicawatch.go
@@ -59,7 +59,8 @@
 	}
 }
 
-// hasWaiters reports whether any request waits; if none does, the poll loop must end.
+// hasWaiters reports whether any request waits. If none does, it marks the poll loop
+// as stopped.
 func (w *replicaWatch) hasWaiters() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/pooler/silent.go
+++ b/internal/pooler/silent.go
@@ -12,8 +12,8 @@
 	// silenceThreshold is how long an exchange lasts before its target is asked, on a
 	// new connection, whether it is still running the statement.
 	silenceThreshold = 500 * time.Millisecond
-	// silenceRecheckDelay is the time between the two checks. An answer in transit at the first
-	// has arrived by the second.
+	// silenceRecheckDelay is the time between the two checks. An answer in transit at
+	// the first has arrived by the second.
 	silenceRecheckDelay = 100 * time.Millisecond
 )
 
