--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -14,7 +14,7 @@
 	"github.com/buckthornshore/buckthornshore/internal/view"
 )
 
-type adminParts struct {
+type adminParams struct {
 	fx.In
 	Lifecycle fx.Lifecycle
 	Settings  Settings
@@ -25,14 +25,15 @@
 	Log       *slog.Logger
 }
 
-// serveAdmin serves metrics, health and operators where the settings ask for it.
-func serveAdmin(p adminParts) {
+// serveAdmin serves metrics, health checks and operators if the settings have an
+// admin address.
+func serveAdmin(p adminParams) {
 	s, log := p.Settings, p.Log
 	if s.AdminAddress == "" {
 		return
 	}
 	mux := http.NewServeMux()
-	mux.Handle("/", metrics.Handler(p.Registry, func() string { return notReady(p.View, p.Entry) }))
+	mux.Handle("/", metrics.Handler(p.Registry, func() string { return notReadyReason(p.View, p.Entry) }))
 	mux.Handle(p.Operators.handler(s.OperatorSecret))
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
 	p.Lifecycle.Append(fx.Hook{
@@ -49,8 +50,9 @@
 	})
 }
 
-// notReady says what the daemon still lacks to serve callers, or "".
-func notReady(v *view.View, e *entry.Server) string {
+// notReadyReason returns what the daemon still lacks to serve callers, or "" if it is
+// ready.
+func notReadyReason(v *view.View, e *entry.Server) string {
 	conf := v.Config()
 	if conf == nil {
 		return "no configuration is in force"
--- a/internal/daemon/configkeeper.go
+++ b/internal/daemon/configupdater.go
@@ -23,8 +23,8 @@
 	"github.com/buckthornshore/buckthornshore/rpc/peerpb"
 )
 
-// configKeeper puts the newest configuration in force that the rows name.
-type configKeeper struct {
+// configUpdater puts the newest configuration that the rows name in force.
+type configUpdater struct {
 	file   string
 	view   *view.View
 	rows   *relay.Store
@@ -38,8 +38,8 @@
 	since   time.Time
 }
 
-func newConfigKeeper(s Settings, v *view.View, rows *relay.Store, blobs *relay.Server, p *peers.Table, log *slog.Logger) *configKeeper {
-	return &configKeeper{
+func newConfigUpdater(s Settings, v *view.View, rows *relay.Store, blobs *relay.Server, p *peers.Table, log *slog.Logger) *configUpdater {
+	return &configUpdater{
 		file:   s.ConfigFile,
 		view:   v,
 		rows:   rows,
@@ -50,25 +50,25 @@
 	}
 }
 
-// changed has the keeper look at the rows again.
-func (k *configKeeper) changed() {
+// rowsChanged tells run that the rows have changed.
+func (u *configUpdater) rowsChanged() {
 	select {
-	case k.notify <- struct{}{}:
-	default: // A look is due already, and it will see these rows.
+	case u.notify <- struct{}{}:
+	default: // An update is already pending and will read these rows.
 	}
 }
 
-// loadFile puts the settings' file in force, until the platform has a document:
-// version 0 is below every accepted one.
-func (k *configKeeper) loadFile() error {
-	if k.file == "" {
+// loadFile puts the configuration file of the settings in force until the platform
+// has a document. The file counts as version 0, which is below every accepted one.
+func (u *configUpdater) loadFile() error {
+	if u.file == "" {
 		return nil
 	}
-	raw, err := os.ReadFile(k.file)
+	raw, err := os.ReadFile(u.file)
 	if err != nil {
 		return result.New(result.ConfigInvalid, "%v", err)
 	}
-	doc, problems := config.Parse(k.file, raw)
+	doc, problems := config.Parse(u.file, raw)
 	if err := config.Err(problems); err != nil {
 		return err
 	}
@@ -76,46 +76,46 @@
 	if err != nil {
 		return err
 	}
-	k.view.SetConfig(conf)
+	u.view.SetConfig(conf)
 	return nil
 }
 
-// configRetry is when an update that failed is tried again.
-const configRetry = 500 * time.Millisecond
+// configRetryDelay is the delay before a failed update is retried.
+const configRetryDelay = 500 * time.Millisecond
 
-// run puts what is accepted in force until ctx ends. A failure is retried by
-// itself: the rows may not change again for days, and this daemon would keep the
-// old configuration for as long.
-func (k *configKeeper) run(ctx context.Context) {
+// run puts each accepted configuration in force until ctx ends. It retries a failed
+// update without waiting for a change of the rows: they may not change for days,
+// and the daemon would keep the old configuration until then.
+func (u *configUpdater) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		var retry <-chan time.Time
-		if err := k.update(ctx); err != nil {
-			k.log.Warn("event=config_update_failed", "error", err)
-			retry = time.After(configRetry)
+		if err := u.update(ctx); err != nil {
+			u.log.Warn("event=config_update_failed", "error", err)
+			retry = time.After(configRetryDelay)
 		}
 		select {
-		case <-k.notify:
+		case <-u.notify:
 		case <-retry:
 		case <-ctx.Done():
 		}
 	}
 }
 
-func (k *configKeeper) update(ctx context.Context) error {
-	state, err := store.StateOf(k.rows.Rows(store.CurrentPrefix))
+func (u *configUpdater) update(ctx context.Context) error {
+	state, err := store.StateOf(u.rows.Rows(store.CurrentPrefix))
 	if err != nil {
 		return err
 	}
-	if state.Config.Version == 0 || k.versions() == state.Versions() {
+	if state.Config.Version == 0 || u.versions() == state.Versions() {
 		return nil
 	}
-	doc, err := k.document(ctx, state)
+	doc, err := u.document(ctx, state)
 	if err != nil {
 		return err
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	changed, err := k.inForce.Accept(config.Offer{
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	changed, err := u.inForce.Accept(config.Offer{
 		Versions: state.Versions(),
 		Document: doc,
 		Hash:     state.Config.Hash,
@@ -124,26 +124,26 @@
 	if err != nil || !changed {
 		return err
 	}
-	k.view.SetConfig(k.inForce.View())
-	k.since = time.Now()
-	k.log.Info("event=config_in_force", "config", state.Config.Version, "preset", state.Preset.Version,
-		"preset_name", presetOf(state), "platform_age", k.rows.PlatformAge(k.since))
+	u.view.SetConfig(u.inForce.View())
+	u.since = time.Now()
+	u.log.Info("event=config_in_force", "config", state.Config.Version, "preset", state.Preset.Version,
+		"preset_name", presetOf(state), "platform_age", u.rows.PlatformAge(u.since))
 	return nil
 }
 
-// status tells what is in force here.
-func (k *configKeeper) status() status.Config {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	held := k.inForce.Held()
+// status describes the configuration that this daemon has in force.
+func (u *configUpdater) status() status.Config {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	held := u.inForce.Held()
 	return status.Config{
-		VM:            k.view.Self().ID,
+		VM:            u.view.Self().ID,
 		Config:        held.Versions.Config,
 		PresetVersion: held.Versions.Preset,
 		Preset:        held.Preset,
 		Hash:          held.Hash,
-		Since:         k.since,
-		PlatformAge:   settings.Duration(k.rows.PlatformAge(time.Now()).Truncate(time.Millisecond)),
+		Since:         u.since,
+		PlatformAge:   settings.Duration(u.rows.PlatformAge(time.Now()).Truncate(time.Millisecond)),
 	}
 }
 
@@ -154,58 +154,58 @@
 	return state.Preset.Preset
 }
 
-func (k *configKeeper) versions() config.Versions {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.inForce.Versions()
+func (u *configUpdater) versions() config.Versions {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.inForce.Versions()
 }
 
-// document returns the document that the state names: the one held, or the blob
-// from a relay, or else from the object store.
-func (k *configKeeper) document(ctx context.Context, state store.State) (*config.Document, error) {
-	k.mu.Lock()
-	held := k.inForce.Held()
-	k.mu.Unlock()
+// document returns the document that the state names. It is the one in force if
+// only the preset changed; otherwise it is loaded from a relay or the object store.
+func (u *configUpdater) document(ctx context.Context, state store.State) (*config.Document, error) {
+	u.mu.Lock()
+	held := u.inForce.Held()
+	u.mu.Unlock()
 	if held.Document != nil && held.Versions.Config == state.Config.Version {
 		return held.Document, nil
 	}
-	s := &store.Store{Platform: blobSource{k}}
+	s := &store.Store{Platform: blobSource{u}}
 	return s.Load(ctx, state.Config)
 }
 
-// blobSource reads blobs from the relays first: the object store bears about
-// two thousand reads a second, and a change has every daemon read at once.
-type blobSource struct{ keeper *configKeeper }
+// blobSource reads blobs from the relays first: the object store supports about
+// 2000 reads per second, and after a change all daemons read at once.
+type blobSource struct{ updater *configUpdater }
 
-var errReadOnly = errors.New("daemon: this source only reads blobs")
+var errReadOnly = errors.New("daemon: the blob source is read-only")
 
 // Get implements platform.Objects.
 func (b blobSource) Get(ctx context.Context, name string) ([]byte, bool, error) {
-	if b.keeper.view.IsRelay() {
-		blob, found, err := b.keeper.blobs.Get(ctx, name)
+	if b.updater.view.IsRelay() {
+		blob, found, err := b.updater.blobs.Get(ctx, name)
 		if err == nil {
 			return blob, found, nil
 		}
 		if blob, ok := b.fromPeers(ctx, name); ok {
-			return blob, true, nil // The platform is out; a peer holds it.
+			return blob, true, nil // The platform is unavailable, but a peer has the blob.
 		}
 		return nil, false, err
 	}
 	if blob, ok := b.fromPeers(ctx, name); ok {
 		return blob, true, nil
 	}
-	return b.keeper.blobs.Get(ctx, name)
+	return b.updater.blobs.Get(ctx, name)
 }
 
-// blobTimeout is how long a peer may be silent: one that hangs must not hold the change up. The
-// document may take any time to come: given up on the way over a narrow link, it would be begun
-// anew each time, and never be in force here.
+// blobTimeout is how long a peer may go without sending data, so that a hung peer does not delay
+// a change. The transfer as a whole has no time limit: over a slow link it would be aborted and
+// restarted every time, and the document would never come into force here.
 const blobTimeout = 500 * time.Millisecond
 
 func (b blobSource) fromPeers(ctx context.Context, name string) ([]byte, bool) {
-	for _, vm := range b.keeper.view.Relays() {
+	for _, vm := range b.updater.view.Relays() {
 		if blob, ok := b.fromPeer(ctx, vm, name); ok {
-			b.keeper.blobs.Keep(name, blob)
+			b.updater.blobs.Keep(name, blob)
 			return blob, true
 		}
 	}
@@ -214,7 +214,7 @@
 
 func (b blobSource) fromPeer(ctx context.Context, vm topology.VM, name string) ([]byte, bool) {
 	ctx = stall.With(ctx, stall.Limits{First: blobTimeout, Next: blobTimeout})
-	resp, err := b.keeper.peers.Get(vm).Blob(ctx, &peerpb.BlobRequest{Name: name})
+	resp, err := b.updater.peers.Get(vm).Blob(ctx, &peerpb.BlobRequest{Name: name})
 	if err != nil || !resp.Found {
 		return nil, false
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -41,14 +41,14 @@
 			newRows,
 			newRelayServer,
 			newPublisher,
-			newConfigKeeper,
+			newConfigUpdater,
 			newPooler,
 			newDriver,
 			newFollower,
 			newProber,
 			newRegistrar,
 			newRoles,
-			newLeaver,
+			newSwitchovers,
 			newOperators,
 			newEntry,
 			metrics.Provide,
@@ -56,8 +56,8 @@
 			metrics.NewPooler,
 			metrics.NewTraffic,
 		),
-		fx.Invoke(wire, runSystems, serveAdmin, servePeers, serveCallers),
-		fx.StopTimeout(longestStop),
+		fx.Invoke(connectComponents, runBackgroundTasks, serveAdmin, servePeers, serveCallers),
+		fx.StopTimeout(stopTimeout),
 		fx.WithLogger(func(log *slog.Logger) fxevent.Logger { return logging.StartEvents{Log: log} }),
 	)
 }
@@ -68,8 +68,8 @@
 
 func newClock() mono.Clock { return mono.System{} }
 
-// newVM takes the start-up time as the incarnation: it rises with every start,
-// and a VM has no disk that could keep a counter.
+// newVM uses the startup time as the incarnation: it rises with every start, and a
+// VM has no disk that could store a counter.
 func newVM(s Settings) topology.VM {
 	return topology.VM{
 		ID:          s.VM,
@@ -111,7 +111,7 @@
 
 func newSink(v *view.View, log *slog.Logger) *rowSink { return &rowSink{view: v, log: log} }
 
-func newRows(sink *rowSink) *relay.Store { return relay.NewStore(sink.take) }
+func newRows(sink *rowSink) *relay.Store { return relay.NewStore(sink.apply) }
 
 func newRelayServer(rows *relay.Store, p platform.Service) *relay.Server {
 	return relay.NewServer(rows, p)
@@ -129,7 +129,7 @@
 	return pooler.New(pooler.Options{
 		Dialer:    d,
 		Directory: v,
-		Entries:   entryWatch{v, prober},
+		Entries:   entryLiveness{v, prober},
 		Clock:     clock,
 		Log:       log,
 		FirstCome: s.Baseline != "",
@@ -137,15 +137,15 @@
 	})
 }
 
-// entryWatch tells the pooler which entries have gone.
-type entryWatch struct {
+// entryLiveness tells the pooler which entry daemons are gone.
+type entryLiveness struct {
 	*view.View
 	*liveness.Prober
 }
 
 func newProber(v *view.View, p *peers.Table) *liveness.Prober { return liveness.New(v, p) }
 
-type driverParts struct {
+type driverParams struct {
 	fx.In
 	Settings Settings
 	View     *view.View
@@ -159,7 +159,7 @@
 	Log      *slog.Logger
 }
 
-func newDriver(p driverParts) *failover.Driver {
+func newDriver(p driverParams) *failover.Driver {
 	options := authority.DefaultOptions()
 	options.CheckInvariants = p.Settings.CheckInvariants
 	return failover.New(failover.Options{
@@ -176,7 +176,7 @@
 	})
 }
 
-type entryParts struct {
+type entryParams struct {
 	fx.In
 	Settings Settings
 	View     *view.View
@@ -186,7 +186,7 @@
 	Log      *slog.Logger
 }
 
-func newEntry(p entryParts) (*entry.Server, error) {
+func newEntry(p entryParams) (*entry.Server, error) {
 	keys, err := p.Settings.keyRing()
 	if err != nil {
 		return nil, err
@@ -202,12 +202,13 @@
 	}), nil
 }
 
-// wire joins the parts that know each other both ways.
-func wire(sink *rowSink, rows *relay.Store, driver *failover.Driver, keeper *configKeeper, p *pooler.Pooler, r *roles, e *entry.Server, table *peers.Table, s Settings) {
+// connectComponents sets the references between components that depend on each
+// other and so can't receive them at construction.
+func connectComponents(sink *rowSink, rows *relay.Store, driver *failover.Driver, updater *configUpdater, p *pooler.Pooler, r *roles, e *entry.Server, table *peers.Table, s Settings) {
 	table.ServeLocally(s.PeerAddress, p)
 	sink.store = rows
 	sink.driver = driver
-	sink.keeper = keeper
+	sink.updater = updater
 	sink.entry = e
 	p.Guard(driver, driver)
 	driver.OnAssigned(r.tick)
--- a/internal/daemon/dialer.go
+++ b/internal/daemon/dialer.go
@@ -9,17 +9,19 @@
 	"github.com/buckthornshore/buckthornshore/internal/peers"
 )
 
-// keepAlive finds connections whose other end has gone without a word.
-const keepAlive = 2 * time.Second
+// keepAlivePeriod is the interval of TCP keep-alive probes, which detect connections whose
+// peer has gone without closing them.
+const keepAlivePeriod = 2 * time.Second
 
-// mappedDialer dials the address that the settings map the wanted one to.
+// mappedDialer replaces addresses as the settings' address_map says and dials the
+// result.
 type mappedDialer struct {
 	addresses map[string]string
 	dialer    net.Dialer
 }
 
 func newDialer(addresses map[string]string) *mappedDialer {
-	return &mappedDialer{addresses: addresses, dialer: net.Dialer{KeepAlive: keepAlive}}
+	return &mappedDialer{addresses: addresses, dialer: net.Dialer{KeepAlive: keepAlivePeriod}}
 }
 
 // DialContext opens a connection.
@@ -30,8 +32,8 @@
 	return d.dialer.DialContext(ctx, network, address)
 }
 
-// platformDialer dials the platform; a type of its own for fx to tell it from the
-// peers' dialer.
+// platformDialer dials the platform. It is a distinct type so that fx can tell it
+// from the peers' dialer.
 type platformDialer peers.Dialer
 
 // countedDialer counts the bytes of the connections that it opens.
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -23,20 +23,20 @@
 
 // operators implements peerpb.Admin.
 type operators struct {
-	view   *view.View
-	entry  *entry.Server
-	pooler *pooler.Pooler
-	keeper *configKeeper
-	leaver *leaver
-	stop   fx.Shutdowner
-	log    *slog.Logger
+	view        *view.View
+	entry       *entry.Server
+	pooler      *pooler.Pooler
+	updater     *configUpdater
+	switchovers *switchovers
+	stop        fx.Shutdowner
+	log         *slog.Logger
 }
 
-func newOperators(v *view.View, e *entry.Server, p *pooler.Pooler, k *configKeeper, l *leaver, stop fx.Shutdowner, log *slog.Logger) *operators {
-	return &operators{view: v, entry: e, pooler: p, keeper: k, leaver: l, stop: stop, log: log}
+func newOperators(v *view.View, e *entry.Server, p *pooler.Pooler, u *configUpdater, s *switchovers, stop fx.Shutdowner, log *slog.Logger) *operators {
+	return &operators{view: v, entry: e, pooler: p, updater: u, switchovers: s, stop: stop, log: log}
 }
 
-// handler serves what is signed with the operators' secret.
+// handler serves the requests that are signed with the operators' secret.
 func (o *operators) handler(secret string) (prefix string, h http.Handler) {
 	server := peerpb.NewAdminServer(o)
 	return server.PathPrefix(), &opauth.Verifier{Secret: secret, Next: server, Now: time.Now}
@@ -46,30 +46,30 @@
 func (o *operators) Status(_ context.Context, req *peerpb.StatusRequest) (*peerpb.StatusResponse, error) {
 	switch req.Kind {
 	case status.KindGroups:
-		return statusAnswer(o.groups())
+		return statusResponse(o.groups())
 	case status.KindTargets:
-		return statusAnswer(o.targets())
+		return statusResponse(o.targets())
 	case status.KindVMs:
-		return statusAnswer(o.vms())
+		return statusResponse(o.vms())
 	case status.KindSessions:
-		return statusAnswer(status.Sessions{
+		return statusResponse(status.Sessions{
 			VM:       o.view.Self().ID,
 			Sessions: o.entry.Sessions(),
 			Serving:  o.entry.Serving(),
 			Running:  o.pooler.RunningAll(),
 		})
 	case status.KindConfig:
-		return statusAnswer(o.keeper.status())
+		return statusResponse(o.updater.status())
 	}
-	return refusedStatus(result.New(result.NotFound, "no status %q", req.Kind)), nil
+	return failedStatus(result.New(result.NotFound, "no status %q", req.Kind)), nil
 }
 
-func statusAnswer(value any) (*peerpb.StatusResponse, error) {
+func statusResponse(value any) (*peerpb.StatusResponse, error) {
 	raw, err := json.Marshal(value)
 	return &peerpb.StatusResponse{Json: raw}, err
 }
 
-func refusedStatus(failure *result.Error) *peerpb.StatusResponse {
+func failedStatus(failure *result.Error) *peerpb.StatusResponse {
 	return &peerpb.StatusResponse{Failure: peers.Failure(failure)}
 }
 
@@ -144,24 +144,25 @@
 func (o *operators) Explain(_ context.Context, req *peerpb.ExplainRequest) (*peerpb.StatusResponse, error) {
 	conf := o.view.Config()
 	if conf == nil {
-		return refusedStatus(result.New(result.NotFound, "no configuration is in force")), nil
+		return failedStatus(result.New(result.NotFound, "no configuration is in force")), nil
 	}
 	class, ok := conf.Class(req.Service, req.Class)
 	if !ok {
-		return refusedStatus(result.New(result.UnknownClass, "%q of service %q", req.Class, req.Service)), nil
+		return failedStatus(result.New(result.UnknownClass, "%q of service %q", req.Class, req.Service)), nil
 	}
 	group, failure := groupFor(conf, req)
 	if failure != nil {
-		return refusedStatus(failure), nil
+		return failedStatus(failure), nil
 	}
-	why, failure := o.entry.Explain(group, class, peers.Position(req.Floor))
+	explanation, failure := o.entry.Explain(group, class, peers.Position(req.Floor))
 	if failure != nil {
-		return refusedStatus(failure), nil
+		return failedStatus(failure), nil
 	}
-	return statusAnswer(why)
+	return statusResponse(explanation)
 }
 
-// groupFor takes the named group, or the one that an empty shard key gives.
+// groupFor returns the group that the request names or, if it names none, the group
+// of an empty shard key.
 func groupFor(conf *config.View, req *peerpb.ExplainRequest) (topology.GroupID, *result.Error) {
 	if req.Group != "" {
 		id := config.GroupID(req.Service, req.Group)
@@ -177,15 +178,15 @@
 	return id, nil
 }
 
-// Switchover implements peerpb.Admin; it returns when the replica is primary.
+// Switchover implements peerpb.Admin. It returns once the replica is primary.
 func (o *operators) Switchover(ctx context.Context, req *peerpb.SwitchoverRequest) (*peerpb.SwitchoverResponse, error) {
-	o.log.Info("event=switchover_asked", "group", req.Group, "to", req.Target)
-	term, failure := o.leaver.Switchover(ctx, topology.GroupID(req.Group), topology.TargetID(req.Target))
+	o.log.Info("event=switchover_requested", "group", req.Group, "to", req.Target)
+	term, failure := o.switchovers.Switchover(ctx, topology.GroupID(req.Group), topology.TargetID(req.Target))
 	return &peerpb.SwitchoverResponse{Failure: peers.Failure(failure), Term: term}, nil
 }
 
-// Leave implements peerpb.Admin: the same planned stop that SIGTERM begins.
+// Leave implements peerpb.Admin. It starts the same planned stop as SIGTERM.
 func (o *operators) Leave(context.Context, *peerpb.LeaveRequest) (*peerpb.LeaveResponse, error) {
-	o.log.Info("event=leave_asked")
+	o.log.Info("event=leave_requested")
 	return &peerpb.LeaveResponse{}, o.stop.Shutdown()
 }
--- a/internal/daemon/registrar.go
+++ b/internal/daemon/registrar.go
@@ -14,19 +14,20 @@
 )
 
 const (
-	// registerPeriod of the look, in memory, whether this VM's row is as it should
-	// be; it is written at the start, at leaving and after a loss only.
+	// registerPeriod is how often this VM's row is checked in memory. The row is
+	// written only at startup, when the VM leaves, and after the row was lost.
 	registerPeriod = time.Second
-	// registerTimeout of one write.
+	// registerTimeout limits one registration, and one prune of rows.
 	registerTimeout = 2 * time.Second
-	// prunePeriod of the look for rows of VMs that are gone. One VM of a data
-	// centre reads the platform's list for it.
+	// prunePeriod is how often the rows of VMs that are gone are looked for. One VM
+	// per data centre reads the platform's list for this.
 	prunePeriod = time.Minute
 )
 
-// registrar keeps the VMs' rows: every daemon its own, and one of each data
-// centre drops those of VMs that the platform does not list any more. The rows
-// spread as all others do, so that nobody polls the platform's list.
+// registrar maintains the VM rows. Every daemon writes its own row, and one daemon
+// per data centre deletes the rows of VMs that the platform no longer lists. VM
+// rows are distributed like all other rows, so that daemons need not poll the
+// platform's list.
 type registrar struct {
 	view     *view.View
 	rows     *relay.Store
@@ -40,21 +41,23 @@
 	return &registrar{view: v, rows: rows, platform: p, publish: pub, sink: sink, log: log}
 }
 
-// tick writes this VM's row when it differs from what the VM is.
+// tick writes this VM's row if the stored one differs, and applies a postponed
+// list of VMs.
 func (r *registrar) tick(ctx context.Context) {
 	r.register(ctx)
-	r.sink.retakeVMs()
+	r.sink.applyPostponedVMs()
 }
 
-// register reports whether the row is as it should be.
+// register writes this VM's row if the stored one differs, and reports whether the
+// stored row is up to date.
 func (r *registrar) register(ctx context.Context) bool {
 	self := r.view.Self()
-	held, ok := r.ownRow(self.ID)
-	if ok && held.Incarnation > self.Incarnation {
-		r.log.Error("event=vm_replaced", "incarnation", held.Incarnation)
-		return true // Another process runs under this name; the row is its own.
+	stored, ok := r.ownRow(self.ID)
+	if ok && stored.Incarnation > self.Incarnation {
+		r.log.Error("event=vm_replaced", "incarnation", stored.Incarnation)
+		return true // A newer process runs under this VM's name and owns the row.
 	}
-	if ok && held == self {
+	if ok && stored == self {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
@@ -68,7 +71,7 @@
 }
 
 func (r *registrar) ownRow(id topology.VMID) (topology.VM, bool) {
-	vms, _ := view.VMsOf(r.rows.Rows(view.VMKey(id))) // An unreadable row is written anew.
+	vms, _ := view.VMsOf(r.rows.Rows(view.VMKey(id))) // An unreadable row is overwritten.
 	for _, vm := range vms {
 		if vm.ID == id {
 			return vm, true
@@ -77,7 +80,8 @@
 	return topology.VM{}, false
 }
 
-// write needs no condition: nobody else writes the row of a VM that runs.
+// write stores the row unconditionally: no other daemon writes the row of a
+// running VM.
 func (r *registrar) write(ctx context.Context, self topology.VM) error {
 	if err := r.platform.Register(ctx, self); err != nil {
 		return err
@@ -96,24 +100,25 @@
 	return nil
 }
 
-// readOthers reads the VMs' rows after this VM's own was written. Failure: VMs
-// that start together each read before the others' rows were there, and until
-// the next poll each takes itself for the only one, pools all targets and stands
-// alone in the rows of new groups. Of two, the one that wrote later sees the
-// other here and announces itself to it.
+// readOthers reads the VM rows after this VM has written its own. Without it, VMs
+// that start together may each read the rows before the others have written
+// theirs. Until the next poll each then regards itself as the only VM, pools all
+// targets and lists only itself in the rows of new groups. Of two such VMs, the one
+// that writes later finds the other's row here and announces itself to it.
 func (r *registrar) readOthers(ctx context.Context) {
-	began := time.Now()
+	start := time.Now()
 	rows, _, err := r.platform.Scan(ctx, view.VMPrefix, 0)
 	if err != nil {
 		r.log.Debug("event=platform_unreachable", "error", err)
 		return
 	}
-	r.rows.Reached(began)
-	r.rows.Apply(rows, 0, began)
+	r.rows.Reached(start)
+	r.rows.Apply(rows, 0, start)
 }
 
-// prune drops the rows of this data centre's VMs that the platform's list lacks
-// and that do not answer. The list lags, so neither suffices alone.
+// prune deletes the rows of VMs of this data centre that are missing from the
+// platform's list and are dead or leaving. Neither condition suffices alone,
+// because the list lags.
 func (r *registrar) prune(ctx context.Context) {
 	self := r.view.Self()
 	if !r.view.FirstRelay() {
@@ -138,8 +143,8 @@
 	}
 }
 
-// drop deletes the row only as it was seen: a VM that starts again meanwhile has
-// written it anew.
+// drop deletes a VM's row only if its revision is unchanged: a VM that has started
+// again in the meantime has rewritten its row.
 func (r *registrar) drop(ctx context.Context, id topology.VMID) {
 	key := view.VMKey(id)
 	for _, row := range r.rows.Rows(key) {
--- a/internal/daemon/roles.go
+++ b/internal/daemon/roles.go
@@ -17,11 +17,11 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// controlTimeout of one control statement.
+// controlTimeout limits one control statement.
 const controlTimeout = time.Second
 
-// roles brings the targets that this VM pools into the roles that the group rows
-// give them, and writes the first row of a group that has none.
+// roles assigns the targets that this VM pools the roles that the group rows
+// specify, and writes the first row of a group that has none.
 type roles struct {
 	view     *view.View
 	platform platform.Service
@@ -31,34 +31,35 @@
 	started  time.Time
 	log      *slog.Logger
 
-	mu      sync.Mutex
-	settled map[topology.TargetID]settledRole
+	mu        sync.Mutex
+	confirmed map[topology.TargetID]confirmedRole
 }
 
-// settledRole is a row that a target was found to obey, and when.
-type settledRole struct {
+// confirmedRole is the row that a target was last found to match, and the time of
+// that check.
+type confirmedRole struct {
 	row *topology.Group
 	at  time.Time
 }
 
-// checkAgain is how often a target that obeys its row is asked whether it still
-// does: one that restarts may have lost its role.
-const checkAgain = time.Second
+// roleCheckPeriod is how often the role of a target that matches its row is checked
+// again, since a target that restarts may have lost its role.
+const roleCheckPeriod = time.Second
 
 func newRoles(v *view.View, p platform.Service, pl *pooler.Pooler, d *failover.Driver, pub publisher, log *slog.Logger) *roles {
 	return &roles{
-		view:     v,
-		platform: p,
-		pooler:   pl,
-		driver:   d,
-		publish:  pub,
-		started:  time.Now(),
-		log:      log,
-		settled:  map[topology.TargetID]settledRole{},
+		view:      v,
+		platform:  p,
+		pooler:    pl,
+		driver:    d,
+		publish:   pub,
+		started:   time.Now(),
+		log:       log,
+		confirmed: map[topology.TargetID]confirmedRole{},
 	}
 }
 
-// tick looks at every target that this VM pools.
+// tick checks every target that this VM pools.
 func (r *roles) tick(ctx context.Context) {
 	conf := r.view.Config()
 	if conf == nil {
@@ -78,39 +79,40 @@
 	}
 }
 
-// due reports whether a target has to be asked for its role: with every new row,
-// and from time to time.
+// due reports whether a target's role must be checked, which is the case after
+// every change of the row and when the last check is too old.
 func (r *roles) due(row *topology.Group, id topology.TargetID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.settled[id]
-	return s.row != row || time.Since(s.at) >= checkAgain
+	s := r.confirmed[id]
+	return s.row != row || time.Since(s.at) >= roleCheckPeriod
 }
 
-func (r *roles) settle(row *topology.Group, id topology.TargetID) {
+func (r *roles) confirm(row *topology.Group, id topology.TargetID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.settled[id] = settledRole{row: row, at: time.Now()}
+	r.confirmed[id] = confirmedRole{row: row, at: time.Now()}
 }
 
 // create writes the first row of a group whose first target this VM pools. The
-// condition that there is none makes a second writer lose.
+// write is conditional on the row being absent, so only one of several concurrent
+// writers succeeds.
 func (r *roles) create(ctx context.Context, conf *config.View, part failover.Part) {
 	g, _ := conf.Group(part.Group)
 	staying := slices.DeleteFunc(slices.Clone(g.Targets), func(t config.Target) bool { return t.Leaving })
-	first := staying[0].ID // A document whose targets all leave is refused.
+	first := staying[0].ID // A document in which all targets of a group are leaving is rejected.
 	if !slices.Contains(part.Targets, first) {
 		return
 	}
 	row := topology.Group{ID: part.Group, Version: 1, Term: 1, Primary: first, ChangeID: "create/" + string(r.view.Self().ID)}
 	for _, c := range part.Candidates {
 		if c.Replica != first {
-			c.Synced = true // Nothing was acknowledged yet, so nothing is missing.
+			c.Synced = true // No write has been acknowledged yet, so the replica lacks none.
 			row.Promoters = append(row.Promoters, c)
 		}
 	}
-	if len(row.Promoters) < len(staying)-1 || !r.placed(conf, part.Candidates) {
-		return // The list is never empty, so the group waits for its VMs.
+	if len(row.Promoters) < len(staying)-1 || !r.hasLocalPoolers(conf, part.Candidates) {
+		return // Promoters may never be empty, so the group waits for its VMs.
 	}
 	value, err := json.Marshal(row)
 	if err != nil {
@@ -128,14 +130,16 @@
 	r.log.Info("event=group_created", "group", part.Group, "primary", first, "committed", out.Committed, "error", err)
 }
 
-// patience is how long a group without a row waits for VMs in all places.
-const patience = 10 * time.Second
+// placementTimeout is how long the first row of a group is postponed while a target
+// has no pooler in its own data centre.
+const placementTimeout = 10 * time.Second
 
-// placed reports whether each target has a pooler in its own data centre. At a
-// start VMs hear of each other one by one; one that knew nobody yet would list
-// itself for every replica, and the group could fail over only while it lives.
-func (r *roles) placed(conf *config.View, poolers []topology.Promoter) bool {
-	if time.Since(r.started) > patience {
+// hasLocalPoolers reports whether each target has a pooler in its own data centre, or
+// the wait for that has timed out. VMs discover each other one by one at startup. A
+// VM that has not discovered any other would list itself for every replica, and the
+// group could fail over only while that VM is alive.
+func (r *roles) hasLocalPoolers(conf *config.View, poolers []topology.Promoter) bool {
+	if time.Since(r.started) > placementTimeout {
 		return true
 	}
 	for _, p := range poolers {
@@ -148,8 +152,9 @@
 	return true
 }
 
-// assign gives a target the role that the row has for it. A replica that this VM
-// is promoting is left alone: it is fenced on purpose.
+// assign sets a target to the role that the row specifies. It does nothing while
+// this VM is promoting a replica of the group, because the replica is fenced on
+// purpose then.
 func (r *roles) assign(ctx context.Context, conf *config.View, row *topology.Group, id topology.TargetID) {
 	control, failure := r.pooler.Control(id)
 	if failure != nil || r.driver.Attempting(row.ID) {
@@ -159,11 +164,11 @@
 	defer cancel()
 	status, err := control.Status(ctx)
 	if err != nil {
-		return // The detector looks after targets that do not answer.
+		return // The failure detector handles targets that do not answer.
 	}
 	switch {
 	case status.Term > row.Term:
-		return // A row newer than this one is on its way.
+		return // This row is outdated; a newer one has not arrived yet.
 	case row.Primary == id && (status.Role != pooler.RolePrimary || status.Term < row.Term):
 		_, err = control.Promote(ctx, row.Term)
 	case row.Primary != id && (status.Role != pooler.RoleReplica || status.Term < row.Term || status.Primary != row.Primary):
@@ -171,14 +176,14 @@
 		primary, _ := conf.Target(row.Primary)
 		_, err = control.Follow(ctx, row.Term, row.Primary, primary.Address)
 	default:
-		r.settle(row, id)
+		r.confirm(row, id)
 		return
 	}
 	r.log.Info("event=target_assigned", "target", id, "role_before", status.Role, "primary", row.Primary, "term", row.Term, "error", err)
 }
 
-// reportSurplus tells which writes of a returning primary are lost: its new
-// primary cuts them off.
+// reportSurplus logs which writes of a former primary are lost: those that the new
+// primary does not have are discarded when the former one follows it.
 func (r *roles) reportSurplus(row *topology.Group, id topology.TargetID, status pooler.TargetStatus) {
 	surplus, lost := authority.SurplusOf(row, status.Position)
 	if !lost {
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -23,37 +23,38 @@
 // headerTimeout bounds how long a peer may take to send a request's header.
 const headerTimeout = 5 * time.Second
 
-// queuePeriod is how late the answer to a request that expires in a queue may be.
-const queuePeriod = 20 * time.Millisecond
+// queueTickPeriod is how often queues are checked for expired requests, so it bounds how
+// late such a request is answered.
+const queueTickPeriod = 20 * time.Millisecond
 
-type systems struct {
+type backgroundParams struct {
 	fx.In
-	Lifecycle fx.Lifecycle
-	Keeper    *configKeeper
-	Follower  *relay.Follower
-	Driver    *failover.Driver
-	Prober    *liveness.Prober
-	Registrar *registrar
-	Leaver    *leaver
-	Pooler    *pooler.Pooler
+	Lifecycle   fx.Lifecycle
+	Updater     *configUpdater
+	Follower    *relay.Follower
+	Driver      *failover.Driver
+	Prober      *liveness.Prober
+	Registrar   *registrar
+	Switchovers *switchovers
+	Pooler      *pooler.Pooler
 }
 
-// runSystems starts everything that runs by itself.
-func runSystems(s systems) {
+// runBackgroundTasks starts the background tasks.
+func runBackgroundTasks(s backgroundParams) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.Lifecycle.Append(fx.Hook{
 		OnStart: func(context.Context) error {
-			if err := s.Keeper.loadFile(); err != nil {
+			if err := s.Updater.loadFile(); err != nil {
 				return err
 			}
-			go s.Keeper.run(ctx)
+			go s.Updater.run(ctx)
 			go s.Follower.Run(ctx)
 			go s.Driver.Run(ctx)
 			go s.Prober.Run(ctx)
 			go every(ctx, registerPeriod, s.Registrar.tick)
 			go every(ctx, prunePeriod, s.Registrar.prune)
-			go every(ctx, leaverPeriod, s.Leaver.tick)
-			go every(ctx, queuePeriod, func(context.Context) { s.Pooler.Tick() })
+			go every(ctx, leavingCheckPeriod, s.Switchovers.tick)
+			go every(ctx, queueTickPeriod, func(context.Context) { s.Pooler.Tick() })
 			go every(ctx, time.Second, func(context.Context) { s.Pooler.Sweep(time.Now()) })
 			return nil
 		},
@@ -64,7 +65,7 @@
 	})
 }
 
-// every calls f now and then each period until ctx ends.
+// every calls f immediately and then once per period until ctx ends.
 func every(ctx context.Context, period time.Duration, f func(context.Context)) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
@@ -78,7 +79,7 @@
 	}
 }
 
-type peerServices struct {
+type peerServerParams struct {
 	fx.In
 	Lifecycle fx.Lifecycle
 	Settings  Settings
@@ -92,8 +93,8 @@
 	Log       *slog.Logger
 }
 
-// servePeers answers the other VMs.
-func servePeers(s peerServices) {
+// servePeers serves the requests of other VMs.
+func servePeers(s peerServerParams) {
 	mux := http.NewServeMux()
 	for _, handler := range []interface {
 		http.Handler
@@ -105,7 +106,8 @@
 	} {
 		mux.Handle(handler.PathPrefix(), handler)
 	}
-	// Operators ask any daemon here, too: the peers' addresses are known to all.
+	// Operators' requests are served here too, since every daemon knows the peer
+	// addresses.
 	mux.Handle(s.Operators.handler(s.Settings.OperatorSecret))
 	server := &http.Server{Handler: peers.Handler(mux, s.View, s.Clock), ReadHeaderTimeout: headerTimeout}
 	s.Lifecycle.Append(fx.Hook{
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -1,4 +1,4 @@
-// Package daemon puts the parts of a proxy daemon together.
+// Package daemon assembles the proxy daemon from its components.
 package daemon
 
 import (
@@ -16,46 +16,52 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Settings are a daemon's own: its addresses and its data centre.
+// Settings are the settings of one daemon, such as its addresses and its data
+// centre.
 type Settings struct {
 	VM         topology.VMID       `json:"vm"`
 	DataCentre topology.DataCentre `json:"data_centre"`
 	Region     string              `json:"region"`
-	// CallerAddress is where callers connect, ip:port.
+	// CallerAddress is the address for callers, ip:port.
 	CallerAddress string `json:"caller_address"`
-	// PeerAddress is where other VMs connect, ip:port.
+	// PeerAddress is the address for other VMs, ip:port.
 	PeerAddress string `json:"peer_address"`
-	// AdminAddress serves metrics, health and operators, ip:port; optional.
+	// AdminAddress is the address for metrics, health checks and operators,
+	// ip:port; optional.
 	AdminAddress string `json:"admin_address"`
-	// Peers are peer addresses of a few other VMs, ip:port, asked when the
-	// platform is out and no VM is known yet; optional.
+	// Peers are the peer addresses of a few other VMs, ip:port. They are queried
+	// when the platform is unavailable and no VM is known yet; optional.
 	Peers []string `json:"peers"`
-	// PlatformURL of the platform's service.
+	// PlatformURL is the URL of the platform's service.
 	PlatformURL string `json:"platform_url"`
-	// ConfigFile is used until the platform has a configuration; optional.
+	// ConfigFile is the configuration document that is used until the platform has
+	// one; optional.
 	ConfigFile string `json:"config_file"`
-	// AddressMap replaces addresses before they are dialled, where networks of
-	// two data centres see each other under other numbers.
+	// AddressMap replaces addresses before they are dialled, for data centres that
+	// reach each other under translated addresses.
 	AddressMap map[string]string `json:"address_map"`
-	// PlatformTimeout is how long the platform may be silent in a call, before its answer and
-	// within it.
+	// PlatformTimeout is how long a call to the platform may go without receiving
+	// data, before the response begins and while it is read.
 	PlatformTimeout settings.Duration `json:"platform_timeout"`
 	LogLevel        string            `json:"log_level"`
-	// OperatorSecret signs operators' requests; without it none is served.
+	// OperatorSecret is the key that signs operators' requests. If it is empty, no
+	// operator's request is served.
 	OperatorSecret string `json:"operator_secret"`
-	// TokenKeys sign the sessions' tokens, hexadecimal by key id; all daemons have
-	// the same. TokenKey is the id that new tokens are signed with.
+	// TokenKeys are the hexadecimal keys that sign session tokens, by key id. They
+	// must be the same on all daemons. TokenKey is the id of the key that signs new
+	// tokens.
 	TokenKeys map[session.KeyID]string `json:"token_keys"`
 	TokenKey  session.KeyID            `json:"token_key"`
-	// Baseline replaces routing and admission by simpler ones to measure against:
-	// primary_only or random_replica, both first come first served. Empty in earnest.
+	// Baseline replaces routing and admission by a simpler policy for comparative
+	// measurements: primary_only or random_replica, both first come, first served.
+	// It is empty in production.
 	Baseline entry.Baseline `json:"baseline"`
-	// CheckInvariants has a broken invariant end the process instead of being
-	// carried on with.
+	// CheckInvariants makes the process exit when an invariant is broken. Otherwise
+	// it continues.
 	CheckInvariants bool `json:"check_invariants"`
 }
 
-// defaultPlatformTimeout is used when the settings name none.
+// defaultPlatformTimeout is used when the settings have no platform_timeout.
 const defaultPlatformTimeout = settings.Duration(time.Second)
 
 // LoadSettings reads and checks a settings file.
@@ -96,8 +102,8 @@
 	return nil
 }
 
-// keyRing reads the token keys. Without any, a key of this start's own is used:
-// then tokens are good at this daemon only, and the log says so.
+// keyRing decodes the token keys. If there are none, it generates a random key, and
+// tokens are valid only at this daemon until it restarts.
 func (s *Settings) keyRing() (*session.KeyRing, error) {
 	keys := map[session.KeyID][]byte{}
 	for id, text := range s.TokenKeys {
--- a/internal/daemon/spread.go
+++ b/internal/daemon/spread.go
@@ -16,11 +16,11 @@
 	"github.com/buckthornshore/buckthornshore/rpc/peerpb"
 )
 
-// announceTimeout of a row sent ahead to the relays.
+// announceTimeout limits the announcement of a row to one relay.
 const announceTimeout = time.Second
 
-// publisher makes a row that this VM committed known to it and to the relays,
-// which hand it on at once instead of after their next poll.
+// publisher applies a row that this VM committed to the local store and announces
+// it to the relays, which forward it at once instead of after their next poll.
 type publisher func(platform.Row)
 
 func newPublisher(rows *relay.Store, v *view.View, p *peers.Table) publisher {
@@ -31,52 +31,52 @@
 			go func() {
 				ctx, cancel := context.WithTimeout(context.Background(), announceTimeout)
 				defer cancel()
-				_, _ = p.Get(vm).Announce(ctx, msg) // A lost one costs a poll period.
+				_, _ = p.Get(vm).Announce(ctx, msg) // If it is lost, the relay reads the row at its next poll.
 			}()
 		}
 	}
 }
 
-// rowSink passes new rows to all that use them. It is set up after the store,
-// which it serves.
+// rowSink passes new rows to the components that use them. The store takes the
+// sink at construction, so connectComponents sets the other fields later.
 type rowSink struct {
-	view   *view.View
-	store  *relay.Store
-	driver *failover.Driver
-	keeper *configKeeper
-	entry  *entry.Server
-	log    *slog.Logger
+	view    *view.View
+	store   *relay.Store
+	driver  *failover.Driver
+	updater *configUpdater
+	entry   *entry.Server
+	log     *slog.Logger
 
-	list    sync.Mutex
-	pending bool // rows of VMs came before the store was known whole
+	listMu  sync.Mutex
+	pending bool // VM rows arrived before the store had been read completely
 }
 
-func (s *rowSink) take(rows []platform.Row, began time.Time) {
+func (s *rowSink) apply(rows []platform.Row, readStart time.Time) {
 	groups, err := s.view.ApplyRows(rows)
 	if err != nil {
 		s.log.Error("event=bad_row", "error", err)
 	}
 	if slices.ContainsFunc(rows, func(r platform.Row) bool { return view.IsVM(r.Key) }) {
-		s.takeVMs()
+		s.applyVMs()
 	}
 	if s.driver != nil && len(groups) > 0 {
-		s.driver.ObserveRows(groups, began)
+		s.driver.ObserveRows(groups, readStart)
 	}
 	if s.entry != nil {
 		s.entry.GroupsChanged(groups)
 	}
-	if s.keeper != nil {
-		s.keeper.changed()
+	if s.updater != nil {
+		s.updater.rowsChanged()
 	}
 }
 
-// takeVMs hands the VMs' rows on as the list. A store that has not been read
-// whole yet holds a part of them, and the others would count as gone; then the
-// list is taken later. One call at a time: of two, the one that read the rows
-// first must not set its older list last.
-func (s *rowSink) takeVMs() {
-	s.list.Lock()
-	defer s.list.Unlock()
+// applyVMs sets the view's list of VMs from the VM rows. It is postponed while the
+// store has not been read completely: VMs whose rows are not there yet would count
+// as gone. Calls are serialized, so that a concurrent call that read the rows
+// earlier can't overwrite a newer list.
+func (s *rowSink) applyVMs() {
+	s.listMu.Lock()
+	defer s.listMu.Unlock()
 	s.pending = s.store == nil || !s.store.Known()
 	if s.pending {
 		return
@@ -88,12 +88,12 @@
 	s.view.SetList(vms)
 }
 
-// retakeVMs takes a list that was put off.
-func (s *rowSink) retakeVMs() {
-	s.list.Lock()
+// applyPostponedVMs sets the list of VMs if that was postponed.
+func (s *rowSink) applyPostponedVMs() {
+	s.listMu.Lock()
 	pending := s.pending
-	s.list.Unlock()
+	s.listMu.Unlock()
 	if pending {
-		s.takeVMs()
+		s.applyVMs()
 	}
 }
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -17,16 +17,18 @@
 )
 
 const (
-	// stopPeriod of the planned stop's steps.
-	stopPeriod = 50 * time.Millisecond
-	// graceParts: idle sessions are ended after one part of the drain time in so
-	// many, so that a transaction begun at the last moment has the others.
-	graceParts = 4
-	// longestStop is above the greatest drain_time; the plan ends well before.
-	longestStop = time.Hour + time.Minute
+	// stopTickPeriod is the interval between the steps of a planned stop.
+	stopTickPeriod = 50 * time.Millisecond
+	// idleGraceDivisor is the divisor of the drain time that gives the grace period after
+	// which idle sessions are closed. A transaction that begins at the end of the
+	// grace period has the rest of the drain time.
+	idleGraceDivisor = 4
+	// stopTimeout limits the whole stop. It is above the largest drain_time, so the
+	// plan ends well before it.
+	stopTimeout = time.Hour + time.Minute
 )
 
-type callerParts struct {
+type callerParams struct {
 	fx.In
 	Lifecycle fx.Lifecycle
 	Settings  Settings
@@ -38,9 +40,9 @@
 	Log       *slog.Logger
 }
 
-// serveCallers accepts sessions; a planned stop drains them before the peers'
-// server goes, since their last requests may run on this VM's own targets.
-func serveCallers(p callerParts) {
+// serveCallers accepts sessions. A planned stop drains them before the server for
+// peers stops, since their last requests may run on targets that this VM pools.
+func serveCallers(p callerParams) {
 	var l net.Listener
 	p.Lifecycle.Append(fx.Hook{
 		OnStart: func(context.Context) (err error) {
@@ -60,14 +62,14 @@
 	})
 }
 
-// leave carries out the plan of a planned stop until it says to exit.
-func (p *callerParts) leave(ctx context.Context) {
-	begun := time.Now()
+// leave performs the actions of the stop plan until the plan's exit action.
+func (p *callerParams) leave(ctx context.Context) {
+	start := time.Now()
 	drain := drainTime(p.View.Config())
 	plan := membership.NewStop(p.Clock.Now(), drain)
 	p.View.Leave()
 	p.Log.Info("event=leaving", "sessions", p.Entry.Sessions(), "drain_time", drain)
-	ticker := time.NewTicker(stopPeriod)
+	ticker := time.NewTicker(stopTickPeriod)
 	defer ticker.Stop()
 	announced := false
 	for ctx.Err() == nil {
@@ -76,12 +78,13 @@
 			case membership.Announce:
 				announced = p.Registrar.register(ctx)
 			case membership.RefuseNewSessions, membership.AskIdleToReconnect:
-				p.Entry.Leave(begun.Add(drain / graceParts))
+				p.Entry.Leave(start.Add(drain / idleGraceDivisor))
 			case membership.HandOverPoolers, membership.HandOverPromoters:
-				// Both follow from the mark, which rides on every message: the
-				// others choose without this VM and the holders change their lists.
+				// Both follow from the leaving mark, which is part of every message:
+				// the other VMs choose poolers without this VM, and the holders of
+				// the groups' rights change the lists of promoters.
 			case membership.Exit:
-				p.Log.Info("event=left", "took", time.Since(begun), "left", plan.Left())
+				p.Log.Info("event=left", "took", time.Since(start), "left", plan.Left())
 				return
 			}
 		}
@@ -97,15 +100,15 @@
 	return conf.Limits().DrainTime.Std()
 }
 
-// load is what this VM still holds.
-func (p *callerParts) load(announced bool) membership.Load {
+// load returns the work that this VM still has to finish or hand over.
+func (p *callerParams) load(announced bool) membership.Load {
 	load := membership.Load{
 		Announced:    announced,
 		IdleSessions: p.Entry.Sessions(),
 		Running:      p.Pooler.RunningAll(),
 	}
 	if len(p.View.Chosen()) == 0 {
-		return load // Nobody is left to take anything over.
+		return load // No other VM is left that could take over.
 	}
 	load.Poolers = len(p.View.Parts())
 	load.Promoters = p.View.Promotes()
