--- a/internal/metrics/customers.go
+++ b/internal/metrics/customers.go
@@ -8,21 +8,22 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Names of the metrics by customer, and their tag.
+// Names of the per-customer metrics and their tag.
 const (
 	CustomerRequests = "customer_requests"
 	CustomerLatency  = "customer_latency"
 	CustomerSessions = "customer_sessions"
 
 	TagCustomer = "customer"
-	// OtherCustomers stands for all that are not named.
+	// OtherCustomers is the tag value for all customers without metrics of their own.
 	OtherCustomers = "others"
 )
 
-// MostNamedCustomers have metrics of their own; the others are counted together.
+// MostNamedCustomers is the largest number of customers with metrics of their own.
+// All others are counted together.
 const MostNamedCustomers = 30
 
-// Customers records what customers ask for. A nil Customers records nothing.
+// Customers records the requests and sessions of customers. A nil Customers records nothing.
 type Customers struct {
 	scopes scopes
 
@@ -31,12 +32,13 @@
 	sessions map[string]int
 }
 
-// NewCustomers returns a recorder of the registry that names nobody yet.
+// NewCustomers returns a recorder that reports to the registry. Until Name is
+// called, all customers are counted together.
 func NewCustomers(r *Registry) *Customers {
 	return &Customers{scopes: scopes{root: r.scope}, sessions: map[string]int{}}
 }
 
-// Name sets the customers that are named.
+// Name sets the customers that have metrics of their own.
 func (c *Customers) Name(ids []topology.CustomerID) {
 	if c == nil {
 		return
@@ -72,19 +74,19 @@
 	c.scopes.get(scopeKey{customer: label}).Histogram(CustomerLatency, latencyBuckets).RecordDuration(took)
 }
 
-// Session counts a session that opens, and returns what ends it.
+// Session counts an opened session and returns the function that counts its end.
 func (c *Customers) Session(id topology.CustomerID) (ended func()) {
 	if c == nil || id == "" {
 		return func() {}
 	}
-	label := c.label(id) // It is named anew by a configuration: the end counts where the beginning did.
-	c.count(label, 1)
-	return func() { c.count(label, -1) }
+	label := c.label(id) // Kept until the end, since a new configuration may change the customer's label.
+	c.addSessions(label, 1)
+	return func() { c.addSessions(label, -1) }
 }
 
-func (c *Customers) count(label string, by int) {
+func (c *Customers) addSessions(label string, delta int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sessions[label] += by
+	c.sessions[label] += delta
 	c.scopes.get(scopeKey{customer: label}).Gauge(CustomerSessions).Update(float64(c.sessions[label]))
 }
--- a/internal/metrics/http.go
+++ b/internal/metrics/http.go
@@ -15,15 +15,15 @@
 	PathReady  = "/readyz"
 )
 
-// Ready tells why the daemon can't serve yet; "" when it can.
-type Ready func() (why string)
+// Ready returns why the daemon can't serve yet, or "" if it can.
+type Ready func() (reason string)
 
-// Handler serves the metrics, whether the process lives and whether it is ready.
+// Handler serves the metrics and the health and readiness checks.
 func Handler(r *Registry, ready Ready) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathJSON, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(r.Snapshot()) // The reader has gone.
+		_ = json.NewEncoder(w).Encode(r.Snapshot()) // An error means that the client has disconnected.
 	})
 	mux.HandleFunc("GET "+PathText, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
@@ -31,8 +31,8 @@
 	})
 	mux.HandleFunc("GET "+PathHealth, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") })
 	mux.HandleFunc("GET "+PathReady, func(w http.ResponseWriter, _ *http.Request) {
-		if why := ready(); why != "" {
-			http.Error(w, why, http.StatusServiceUnavailable)
+		if reason := ready(); reason != "" {
+			http.Error(w, reason, http.StatusServiceUnavailable)
 			return
 		}
 		fmt.Fprintln(w, "ok")
@@ -40,7 +40,7 @@
 	return mux
 }
 
-// tagUpTo carries a bucket's bound in the text form.
+// tagUpTo is the tag for a bucket's upper bound in the text format.
 const tagUpTo = "up_to"
 
 func writeText(w io.Writer, s Snapshot) {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -29,7 +29,7 @@
 }
 
 var _ = Describe("The admin address", func() {
-	It("serves what was recorded, as text and as JSON", func() {
+	It("serves the recorded values as text and as JSON", func() {
 		r := metrics.New()
 		e, p := metrics.NewEntry(r), metrics.NewPooler(r)
 		e.Request("kalakvoot", "quota-balance", nil, 3*time.Millisecond)
@@ -40,7 +40,7 @@
 		e.Retry("kalakvoot", "quota-balance")
 		p.Queued("kalakvoot", "quota-balance", time.Millisecond)
 		p.Connections("quota-g1-a", 4)
-		Expect(r.Close()).To(Succeed()) // Reports what is left.
+		Expect(r.Close()).To(Succeed()) // Flushes the remaining values.
 		server := httptest.NewServer(metrics.Handler(r, func() string { return "" }))
 		defer server.Close()
 		_, text := fetch(server.URL + metrics.PathText)
@@ -57,7 +57,7 @@
 		Expect(json).To(ContainSubstring(`"name":"retries"`))
 	})
 
-	It("is ready once nothing is missing, and alive before", func() {
+	It("is ready once nothing is missing, and healthy before", func() {
 		r := metrics.New()
 		defer r.Close()
 		missing := "no configuration is in force"
--- a/internal/metrics/peers.go
+++ b/internal/metrics/peers.go
@@ -1,6 +1,6 @@
 package metrics
 
-// Names of the metrics of messages between VMs, and their tag.
+// Names of the metrics for messages between VMs and their tag.
 const (
 	PeerMessages = "peer_messages"
 	PeerBytes    = "peer_bytes"
@@ -11,10 +11,11 @@
 // Peers records the messages that this VM sends to others. A nil Peers records nothing.
 type Peers struct{ scopes scopes }
 
-// NewPeers returns a recorder of the registry.
+// NewPeers returns a recorder that reports to the registry.
 func NewPeers(r *Registry) *Peers { return &Peers{scopes{root: r.scope}} }
 
-// Sent counts messages of a kind and their bytes in all. The kinds are the daemon's own, so they are few.
+// Sent counts messages of one kind and their total bytes. The kinds are fixed in the daemon's code, so the
+// number of metrics stays small.
 func (p *Peers) Sent(kind string, messages, bytes int) {
 	if p == nil {
 		return
--- a/internal/metrics/recorders.go
+++ b/internal/metrics/recorders.go
@@ -28,13 +28,13 @@
 	RoleReplica = "replica"
 	RolePrimary = "primary"
 
-	// ResultOK stands for a request without a failure.
+	// ResultOK is the result tag of a request that succeeded.
 	ResultOK = "ok"
-	// unnamed stands for a class or member that the configuration lacks.
-	unnamed = "unknown"
+	// unknownName is the tag value for a class or member that the configuration lacks.
+	unknownName = "unknown"
 )
 
-// latencyBuckets are the same for all histograms, so that they can be added up.
+// latencyBuckets are the same for all histograms, so that histograms can be summed.
 var latencyBuckets = tally.DurationBuckets{
 	500 * time.Microsecond, time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond,
 	10 * time.Millisecond, 20 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond,
@@ -42,17 +42,17 @@
 	10 * time.Second, time.Minute,
 }
 
-// scopes keeps the tagged scopes: making one costs more than counting does.
+// scopes caches the tagged scopes, since creating one costs more than counting.
 type scopes struct {
-	root tally.Scope
-	made sync.Map // of scopeKey to tally.Scope
+	root   tally.Scope
+	tagged sync.Map // scopeKey to tally.Scope
 }
 
 type scopeKey struct{ member, class, customer, extraName, extra string }
 
 func (s *scopes) get(key scopeKey) tally.Scope {
-	if made, ok := s.made.Load(key); ok {
-		return made.(tally.Scope)
+	if tagged, ok := s.tagged.Load(key); ok {
+		return tagged.(tally.Scope)
 	}
 	tags := map[string]string{}
 	for name, value := range map[string]string{TagMember: key.member, TagClass: key.class, TagCustomer: key.customer, key.extraName: key.extra} {
@@ -60,28 +60,28 @@
 			tags[name] = value
 		}
 	}
-	made, _ := s.made.LoadOrStore(key, s.root.Tagged(tags))
-	return made.(tally.Scope)
+	tagged, _ := s.tagged.LoadOrStore(key, s.root.Tagged(tags))
+	return tagged.(tally.Scope)
 }
 
-// Entry records what the callers' side does. A nil Entry records nothing.
+// Entry records the daemon's work for callers. A nil Entry records nothing.
 type Entry struct{ scopes scopes }
 
-// NewEntry returns a recorder of the registry.
+// NewEntry returns a recorder that reports to the registry.
 func NewEntry(r *Registry) *Entry { return &Entry{scopes{root: r.scope}} }
 
 // Request counts an answered request and its latency. Names that are not in the
-// configuration must be passed as empty: a caller that makes up a new one each
-// time would otherwise fill the memory with counters.
+// configuration must be passed as empty: otherwise a caller that invents a new name
+// for each request would fill the memory with counters.
 func (e *Entry) Request(member, class string, failure *result.Error, took time.Duration) {
 	if e == nil {
 		return
 	}
 	if member == "" {
-		member = unnamed
+		member = unknownName
 	}
 	if class == "" {
-		class = unnamed
+		class = unknownName
 	}
 	code := ResultOK
 	if failure != nil {
@@ -111,10 +111,10 @@
 	e.scopes.get(scopeKey{member: member, class: class}).Counter(Retries).Inc(1)
 }
 
-// Pooler records what the targets' side does. A nil Pooler records nothing.
+// Pooler records the daemon's work at the targets that it pools. A nil Pooler records nothing.
 type Pooler struct{ scopes scopes }
 
-// NewPooler returns a recorder of the registry.
+// NewPooler returns a recorder that reports to the registry.
 func NewPooler(r *Registry) *Pooler { return &Pooler{scopes{root: r.scope}} }
 
 // Queued records how long a request waited for a slot.
@@ -125,7 +125,7 @@
 	p.scopes.get(scopeKey{member: member, class: class}).Histogram(QueueTime, latencyBuckets).RecordDuration(took)
 }
 
-// Ran records how long a request had its slot.
+// Ran records how long a request held its slot.
 func (p *Pooler) Ran(member, class string, took time.Duration) {
 	if p == nil {
 		return
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -1,5 +1,5 @@
-// Package metrics counts and times what a daemon does. Counters, gauges and
-// histograms go through a tally scope into memory, where HTTP reads them.
+// Package metrics records a daemon's metrics. Counters, gauges and histograms are
+// reported through a tally scope to memory, from which they are served over HTTP.
 package metrics
 
 import (
@@ -15,51 +15,51 @@
 	"go.uber.org/fx"
 )
 
-// reportPeriod is how often the scope hands its values over, and so the greatest
-// age of what HTTP reads.
+// reportPeriod is how often the scope reports its values, and so the largest age of
+// the values served over HTTP.
 const reportPeriod = 250 * time.Millisecond
 
-// Registry is a daemon's root scope with the values that it reported.
+// Registry is a daemon's root scope with the values that it has reported.
 type Registry struct {
-	scope  tally.Scope
-	closer io.Closer
-	store  *store
+	scope    tally.Scope
+	closer   io.Closer
+	reporter *reporter
 }
 
-// New starts a registry; Close ends it.
+// New returns a registry and starts its reporting. Close stops it.
 func New() *Registry {
-	s := &store{counters: map[string]*Counter{}, gauges: map[string]*Gauge{}, histograms: map[string]*Histogram{}}
+	s := &reporter{counters: map[string]*Counter{}, gauges: map[string]*Gauge{}, histograms: map[string]*Histogram{}}
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		CachedReporter:         s,
 		OmitCardinalityMetrics: true,
 	}, reportPeriod)
-	return &Registry{scope: scope, closer: closer, store: s}
+	return &Registry{scope: scope, closer: closer, reporter: s}
 }
 
-// Provide makes a registry that ends with the application.
+// Provide returns a registry that is closed when the application stops.
 func Provide(lc fx.Lifecycle) *Registry {
 	r := New()
 	lc.Append(fx.Hook{OnStop: func(context.Context) error { return r.Close() }})
 	return r
 }
 
-// Close reports what is left and stops reporting.
+// Close reports the remaining values and stops reporting.
 func (r *Registry) Close() error { return r.closer.Close() }
 
 // Snapshot returns a copy of all values as last reported.
-func (r *Registry) Snapshot() Snapshot { return r.store.snapshot() }
+func (r *Registry) Snapshot() Snapshot { return r.reporter.snapshot() }
 
 // Tags are the labels of a metric.
 type Tags map[string]string
 
-// Counter is a count that only rises.
+// Counter is a count that only increases.
 type Counter struct {
 	Name  string `json:"name"`
 	Tags  Tags   `json:"tags"`
 	Value int64  `json:"value"`
 }
 
-// Gauge is a value of the moment.
+// Gauge is a current value.
 type Gauge struct {
 	Name  string  `json:"name"`
 	Tags  Tags    `json:"tags"`
@@ -73,9 +73,9 @@
 	Buckets []Bucket `json:"buckets"`
 }
 
-// Bucket counts the durations up to its bound and above the one before.
+// Bucket counts the durations up to its bound and above the previous bucket's.
 type Bucket struct {
-	// UpTo is written as a Go duration, or "inf".
+	// UpTo is the upper bound, formatted as a Go duration, or "inf".
 	UpTo  string `json:"up_to"`
 	Count int64  `json:"count"`
 }
@@ -87,15 +87,15 @@
 	Histograms []Histogram `json:"histograms"`
 }
 
-// store is a tally reporter that keeps the values in memory.
-type store struct {
+// reporter is a tally reporter that keeps the values in memory.
+type reporter struct {
 	mu         sync.Mutex
 	counters   map[string]*Counter
 	gauges     map[string]*Gauge
 	histograms map[string]*Histogram
 }
 
-// metricID names a metric with its tags: name{a="x",b="y"}.
+// metricID returns a metric's name with its tags, such as name{a="x",b="y"}.
 func metricID(name string, tags Tags) string {
 	if len(tags) == 0 {
 		return name
@@ -112,7 +112,7 @@
 	return b.String()
 }
 
-func (s *store) snapshot() Snapshot {
+func (s *reporter) snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := Snapshot{}
--- a/internal/metrics/reporter.go
+++ b/internal/metrics/reporter.go
@@ -8,19 +8,20 @@
 )
 
 // Reporting and Tagging implement tally.Capabilities.
-func (s *store) Reporting() bool { return true }
+func (s *reporter) Reporting() bool { return true }
 
 // Tagging implements tally.Capabilities.
-func (s *store) Tagging() bool { return true }
+func (s *reporter) Tagging() bool { return true }
 
 // Capabilities implements tally.BaseStatsReporter.
-func (s *store) Capabilities() tally.Capabilities { return s }
+func (s *reporter) Capabilities() tally.Capabilities { return s }
 
-// Flush implements tally.BaseStatsReporter; values are in memory already.
-func (s *store) Flush() {}
+// Flush implements tally.BaseStatsReporter. It does nothing, since values are in
+// memory already.
+func (s *reporter) Flush() {}
 
 // AllocateCounter implements tally.CachedStatsReporter.
-func (s *store) AllocateCounter(name string, tags map[string]string) tally.CachedCount {
+func (s *reporter) AllocateCounter(name string, tags map[string]string) tally.CachedCount {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id := metricID(name, tags)
@@ -31,7 +32,7 @@
 }
 
 // AllocateGauge implements tally.CachedStatsReporter.
-func (s *store) AllocateGauge(name string, tags map[string]string) tally.CachedGauge {
+func (s *reporter) AllocateGauge(name string, tags map[string]string) tally.CachedGauge {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id := metricID(name, tags)
@@ -41,12 +42,12 @@
 	return gauge{s, s.gauges[id]}
 }
 
-// AllocateTimer implements tally.CachedStatsReporter; the daemon has histograms
-// in place of timers.
-func (s *store) AllocateTimer(string, map[string]string) tally.CachedTimer { return noTimer{} }
+// AllocateTimer implements tally.CachedStatsReporter. The daemon uses histograms
+// instead of timers, so the timer drops its values.
+func (s *reporter) AllocateTimer(string, map[string]string) tally.CachedTimer { return noTimer{} }
 
 // AllocateHistogram implements tally.CachedStatsReporter.
-func (s *store) AllocateHistogram(name string, tags map[string]string, buckets tally.Buckets) tally.CachedHistogram {
+func (s *reporter) AllocateHistogram(name string, tags map[string]string, buckets tally.Buckets) tally.CachedHistogram {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id := metricID(name, tags)
@@ -69,26 +70,26 @@
 }
 
 type counter struct {
-	store *store
-	value *Counter
+	reporter *reporter
+	value    *Counter
 }
 
-// ReportCount adds what came since the last report.
+// ReportCount adds the increase since the last report.
 func (c counter) ReportCount(delta int64) {
-	c.store.mu.Lock()
-	defer c.store.mu.Unlock()
+	c.reporter.mu.Lock()
+	defer c.reporter.mu.Unlock()
 	c.value.Value += delta
 }
 
 type gauge struct {
-	store *store
-	value *Gauge
+	reporter *reporter
+	value    *Gauge
 }
 
 // ReportGauge replaces the value.
 func (g gauge) ReportGauge(value float64) {
-	g.store.mu.Lock()
-	defer g.store.mu.Unlock()
+	g.reporter.mu.Lock()
+	defer g.reporter.mu.Unlock()
 	g.value.Value = value
 }
 
@@ -98,11 +99,12 @@
 func (noTimer) ReportTimer(time.Duration) {}
 
 type histogram struct {
-	store *store
-	value *Histogram
+	reporter *reporter
+	value    *Histogram
 }
 
-// ValueBucket implements tally.CachedHistogram; all histograms hold durations.
+// ValueBucket implements tally.CachedHistogram. All histograms hold durations, so
+// the bucket drops its samples.
 func (h histogram) ValueBucket(_, _ float64) tally.CachedHistogramBucket { return noBucket{} }
 
 // DurationBucket implements tally.CachedHistogram.
@@ -110,21 +112,21 @@
 	name := boundName(upTo)
 	for i := range h.value.Buckets {
 		if h.value.Buckets[i].UpTo == name {
-			return bucket{h.store, &h.value.Buckets[i]}
+			return bucket{h.reporter, &h.value.Buckets[i]}
 		}
 	}
 	return noBucket{}
 }
 
 type bucket struct {
-	store *store
-	value *Bucket
+	reporter *reporter
+	value    *Bucket
 }
 
-// ReportSamples adds what came since the last report.
+// ReportSamples adds the samples since the last report.
 func (b bucket) ReportSamples(delta int64) {
-	b.store.mu.Lock()
-	defer b.store.mu.Unlock()
+	b.reporter.mu.Lock()
+	defer b.reporter.mu.Unlock()
 	b.value.Count += delta
 }
 
--- a/internal/metrics/store.go
+++ b/internal/metrics/store.go
@@ -4,7 +4,7 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Names of what a daemon sees of the store, and their tags.
+// Names of the metrics for the store, as observed by a daemon, and their tags.
 const (
 	StoreCalls           = "store_calls"
 	ConfigurationVersion = "configuration_version"
@@ -14,13 +14,14 @@
 	TagOutcome   = "outcome"
 )
 
-// Store records the calls to the store and what they brought. A nil Store records nothing.
+// Store records the calls to the store and their outcomes. A nil Store records nothing.
 type Store struct{ scope tally.Scope }
 
-// NewStore returns a recorder of the registry.
+// NewStore returns a recorder that reports to the registry.
 func NewStore(r *Registry) *Store { return &Store{scope: r.scope} }
 
-// Call counts one call. The tables and operations are the daemon's own, so they are few.
+// Call counts one call. Tables and operations are fixed in the daemon's code, so the number of metrics
+// stays small.
 func (s *Store) Call(table, operation, outcome string) {
 	if s == nil {
 		return
@@ -29,8 +30,8 @@
 	s.scope.Tagged(tags).Counter(StoreCalls).Inc(1)
 }
 
-// Configuration records the version in force. VMs with different ones for longer than a change
-// takes serve different callers differently.
+// Configuration records the version in force. If VMs have different versions for longer than a
+// change takes, callers are served differently depending on their VM.
 func (s *Store) Configuration(version uint64) {
 	if s == nil {
 		return
--- a/internal/metrics/traffic.go
+++ b/internal/metrics/traffic.go
@@ -14,9 +14,10 @@
 
 	TagService = "service"
 
-	// ServicePeers, ServicePlatform and ServiceTargets are who a daemon speaks to.
-	// Requests and control share the connections to peers and targets, so only
-	// the figures of a daemon at rest are control alone.
+	// ServicePeers, ServicePlatform and ServiceTargets are the services that a daemon
+	// connects to. Requests and control traffic share the connections to peers and
+	// targets, so the metrics show control traffic alone only while a daemon serves
+	// no requests.
 	ServicePeers    = "peers"
 	ServicePlatform = "platform"
 	ServiceTargets  = "targets"
@@ -25,10 +26,10 @@
 // Traffic counts the bytes of connections. A nil Traffic counts nothing.
 type Traffic struct{ root tally.Scope }
 
-// NewTraffic returns a recorder of the registry.
+// NewTraffic returns a recorder that reports to the registry.
 func NewTraffic(r *Registry) *Traffic { return &Traffic{root: r.scope} }
 
-// Conn counts what passes over a connection to a service.
+// Conn wraps a connection to a service and counts the bytes that pass over it.
 func (t *Traffic) Conn(service string, c net.Conn) net.Conn {
 	if t == nil {
 		return c
@@ -42,13 +43,14 @@
 	}
 }
 
-// Listener counts what passes over the connections that a listener accepts.
+// Listener wraps a listener and counts the bytes that pass over the connections that
+// it accepts.
 func (t *Traffic) Listener(service string, l net.Listener) net.Listener {
 	return &countedListener{Listener: l, traffic: t, service: service}
 }
 
-// countedConn counts bytes as the socket takes and gives them, headers of HTTP
-// included and those of TCP and IP not.
+// countedConn counts bytes at the socket: HTTP headers are included, TCP and IP
+// headers are not.
 type countedConn struct {
 	net.Conn
 	sent     tally.Counter
