--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging makes the programs' logger: one line of key=value pairs for
-// each event.
+// Package logging provides the programs' logger, which writes one line of key=value
+// pairs per event.
 package logging
 
 import (
@@ -8,7 +8,8 @@
 	"strings"
 )
 
-// New returns a logger that writes to w and names the program in each line.
+// New returns a logger that writes to w and adds the program's name to each line. An
+// invalid level means info.
 func New(w io.Writer, program, level string) *slog.Logger {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(level)); err != nil {
@@ -17,12 +18,12 @@
 	return slog.New(slog.NewTextHandler(w, Options(l))).With("program", program)
 }
 
-// eventPrefix begins a message that names its event.
+// eventPrefix is the prefix of a message that names an event.
 const eventPrefix = "event="
 
-// Options have a message "event=name" written as that pair, and an error as its text alone. An
-// error that carries its stack is otherwise written with it: three kilobytes a line, in the
-// seconds in which most lines come.
+// Options returns handler options that write a message "event=name" as that pair and an error as
+// its text only. Otherwise an error with a stack trace is written with the trace, about three
+// kilobytes per line, at the times when most lines are logged.
 func Options(level slog.Leveler) *slog.HandlerOptions {
 	return &slog.HandlerOptions{Level: level, ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
 		if err, ok := a.Value.Any().(error); ok {
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -10,9 +10,9 @@
 	"github.com/buckthornshore/buckthornshore/internal/logging"
 )
 
-// The store is lost. The engineer on call greps for event=store_lost and finds one short line
-// with the error's text, not a stack that fills the screen and the log's budget.
-func TestALineNamesItsEventAndTheErrorsText(t *testing.T) {
+// Guards against errors that are logged with their stack trace, and against events that can't be
+// found by event=name. A line must be short and have the error's text only.
+func TestLineHasEventAndErrorTextWithoutStack(t *testing.T) {
 	var out bytes.Buffer
 	logging.New(&out, "bts", "info").Warn("event=store_lost", "table", "t", "error", errors.Wrap(errors.New("refused"), "store"))
 	line := out.String()
--- a/internal/logging/start.go
+++ b/internal/logging/start.go
@@ -6,12 +6,12 @@
 	"go.uber.org/fx/fxevent"
 )
 
-// StartEvents shows why a daemon did not start, which would end without a word, and none of
-// the container's other events.
+// StartEvents logs why a daemon failed to start, which otherwise exits without a message. It
+// ignores all other events of the fx container.
 type StartEvents struct {
 	Log *slog.Logger
-	// Flush is called after the line, since the process is about to end; nil: lines are
-	// written at once.
+	// Flush is called after the line is logged, since the process is about to exit. It is nil
+	// if lines are written immediately.
 	Flush func()
 }
 
--- a/internal/opauth/opauth.go
+++ b/internal/opauth/opauth.go
@@ -1,7 +1,7 @@
 // Package opauth signs operators' requests with a shared secret and verifies
 // them. A signature covers the path, the time, a nonce and the body, so that a
-// request can't be changed, sent elsewhere or sent again. Neither requests nor
-// answers are hidden, and answers are not signed.
+// request can't be modified, redirected to another path or replayed. Neither
+// requests nor responses are encrypted, and responses are not signed.
 package opauth
 
 import (
@@ -29,14 +29,16 @@
 )
 
 const (
-	// MinSecret is the least length of a secret in bytes.
+	// MinSecret is the minimum length of a secret in bytes.
 	MinSecret = 16
-	// Window is how far the operator's clock may be from the daemon's. Within it
-	// nonces are remembered, beyond it requests are refused.
+	// Window is the largest accepted difference between the operator's clock and the
+	// daemon's. Requests beyond it are refused; nonces are remembered for as long as
+	// their requests are within it.
 	Window = 30 * time.Second
-	// maxBody of an operator's request.
+	// maxBody is the maximum size of an operator's request body in bytes.
 	maxBody = 1 << 20
-	// maxNonces bounds the memory; beyond it requests are refused for a while.
+	// maxNonces is the maximum number of remembered nonces, which bounds memory.
+	// Requests beyond it are refused until older nonces expire.
 	maxNonces = 10000
 )
 
@@ -44,13 +46,13 @@
 	mac := hmac.New(sha256.New, []byte(secret))
 	for _, part := range []string{path, at, nonce} {
 		mac.Write([]byte(part))
-		mac.Write([]byte{0}) // No header or path holds it, so parts can't be shifted.
+		mac.Write([]byte{0}) // Headers and paths contain no zero byte, so the parts are unambiguous.
 	}
 	mac.Write(body)
 	return hex.EncodeToString(mac.Sum(nil))
 }
 
-// Signer is a transport that signs what passes it.
+// Signer is an http.RoundTripper that signs requests.
 type Signer struct {
 	Secret string
 	Next   http.RoundTripper
@@ -74,8 +76,8 @@
 	return s.Next.RoundTrip(r)
 }
 
-// Verifier lets signed requests through to the next handler. With an empty
-// secret it refuses all. Safe for concurrent use.
+// Verifier passes correctly signed requests to the next handler. With a secret
+// shorter than MinSecret it refuses all requests. It is safe for concurrent use.
 type Verifier struct {
 	Secret string
 	Next   http.Handler
@@ -92,15 +94,15 @@
 		refuse(w, "the body can't be read")
 		return
 	}
-	if why := v.check(r, body); why != "" {
-		refuse(w, why)
+	if reason := v.check(r, body); reason != "" {
+		refuse(w, reason)
 		return
 	}
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	v.Next.ServeHTTP(w, r)
 }
 
-// check returns why the request is refused, or "".
+// check returns why the request is refused, or "" if it is accepted.
 func (v *Verifier) check(r *http.Request, body []byte) string {
 	if len(v.Secret) < MinSecret {
 		return "this daemon has no operator_secret"
@@ -120,7 +122,8 @@
 	return ""
 }
 
-// firstUse remembers a nonce for as long as its request could be accepted again.
+// firstUse reports whether the nonce is new, and remembers it for as long as its
+// request could be replayed. It also returns false when too many nonces are stored.
 func (v *Verifier) firstUse(nonce string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -140,7 +143,7 @@
 	return true
 }
 
-func refuse(w http.ResponseWriter, why string) {
-	e := result.New(result.NotAuthorized, "%s", why)
+func refuse(w http.ResponseWriter, reason string) {
+	e := result.New(result.NotAuthorized, "%s", reason)
 	_ = twirp.WriteError(w, twirp.NewError(twirp.Unauthenticated, e.Error()))
 }
--- a/internal/opauth/opauth_test.go
+++ b/internal/opauth/opauth_test.go
@@ -22,10 +22,10 @@
 
 const secret = "sixteen bytes or more"
 
-// tamper changes a signed request on its way.
-type tamper struct{ change func(*http.Request) }
+// tamperingTransport is a transport that modifies a request after it was signed.
+type tamperingTransport struct{ change func(*http.Request) }
 
-func (t tamper) RoundTrip(r *http.Request) (*http.Response, error) {
+func (t tamperingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	t.change(r)
 	return http.DefaultTransport.RoundTrip(r)
 }
@@ -37,7 +37,7 @@
 	send := func(key string, at time.Time, change func(*http.Request)) int {
 		GinkgoHelper()
 		client := http.Client{Transport: &opauth.Signer{
-			Secret: key, Next: tamper{change}, Now: func() time.Time { return at },
+			Secret: key, Next: tamperingTransport{change}, Now: func() time.Time { return at },
 		}}
 		req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, daemon.URL+"/status", strings.NewReader("body"))
 		Expect(err).NotTo(HaveOccurred())
@@ -46,7 +46,7 @@
 		defer resp.Body.Close()
 		return resp.StatusCode
 	}
-	keep := func(*http.Request) {}
+	unchanged := func(*http.Request) {}
 
 	BeforeEach(func() {
 		next := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -58,16 +58,16 @@
 		DeferCleanup(daemon.Close)
 	})
 
-	It("is served when it is signed", func() {
-		Expect(send(secret, now, keep)).To(Equal(http.StatusOK))
+	It("is served when it is signed correctly", func() {
+		Expect(send(secret, now, unchanged)).To(Equal(http.StatusOK))
 	})
 
-	// Somebody on the network sends a request without the secret, changes one on
-	// its way, or repeats one: a switchover that was meant once, or elsewhere.
+	// Guards against an attacker on the network who sends a request without the
+	// secret, modifies one in transit, or replays one, such as a switchover.
 	DescribeTable("is refused", func(key string, at time.Time, change func(*http.Request)) {
 		Expect(send(key, at, change)).To(Equal(http.StatusUnauthorized))
 	},
-		Entry("with another secret", "another secret of some length", now, keep),
+		Entry("with another secret", "another secret of some length", now, unchanged),
 		Entry("without a signature", secret, now, func(r *http.Request) { r.Header.Del("Bts-Signature") }),
 		Entry("with another path", secret, now, func(r *http.Request) { r.URL.Path = "/switchover" }),
 		Entry("with another body", secret, now, func(r *http.Request) {
@@ -76,10 +76,10 @@
 		Entry("with another time", secret, now.Add(-time.Hour), func(r *http.Request) {
 			r.Header.Set("Bts-Time", "1")
 		}),
-		Entry("when it is old", secret, now.Add(-opauth.Window-time.Second), keep),
+		Entry("when it is old", secret, now.Add(-opauth.Window-time.Second), unchanged),
 	)
 
-	It("is refused when it comes a second time", func() {
+	It("is refused when it is replayed", func() {
 		var first http.Header
 		Expect(send(secret, now, func(r *http.Request) { first = r.Header.Clone() })).To(Equal(http.StatusOK))
 		again := send(secret, now, func(r *http.Request) { r.Header = first })
@@ -88,6 +88,6 @@
 
 	It("is refused by a daemon without a secret", func() {
 		daemon.Config.Handler = &opauth.Verifier{Now: time.Now}
-		Expect(send("", now, keep)).To(Equal(http.StatusUnauthorized))
+		Expect(send("", now, unchanged)).To(Equal(http.StatusUnauthorized))
 	})
 })
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the programs' own settings: JSON with comments, one
-// file a program. Unknown keys are errors, so that a misspelt key is not
+// Package settings reads the settings files of the programs, one JSON file with
+// comments per program. Unknown keys are errors, so that a misspelt key is not
 // silently ignored.
 package settings
 
@@ -15,7 +15,7 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// Duration is written as a Go duration: "250ms", "2s".
+// Duration is encoded in JSON as a Go duration string such as "250ms" or "2s".
 type Duration time.Duration
 
 // UnmarshalJSON reads a quoted duration.
@@ -32,12 +32,12 @@
 	return nil
 }
 
-// MarshalJSON writes what UnmarshalJSON reads.
+// MarshalJSON writes the duration in the format that UnmarshalJSON reads.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(d).String())
 }
 
-// Std returns the standard library's type.
+// Std returns the duration as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
 // Load reads the file at path into out. Errors carry result code ConfigInvalid.
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -1,5 +1,5 @@
-// Package status holds the records by which daemons tell operators what they
-// know: one daemon's view, which may differ from another's.
+// Package status defines the status records that daemons return to operators. Each
+// shows the view of one daemon, which may differ from another daemon's.
 package status
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Kinds of status that a daemon answers.
+// Kinds of status that a daemon can return.
 const (
 	KindGroups   = "groups"
 	KindTargets  = "targets"
@@ -39,7 +39,7 @@
 	Pooler     topology.VMID       `json:"pooler"`
 }
 
-// VM is one daemon as the answering one sees it.
+// VM is the state of one daemon as the responding daemon sees it.
 type VM struct {
 	VM          topology.VMID       `json:"vm"`
 	DataCentre  topology.DataCentre `json:"data_centre"`
@@ -48,23 +48,24 @@
 	Avoided     bool                `json:"avoided"`
 }
 
-// Sessions counts the daemon's callers.
+// Sessions counts the sessions of a daemon's callers.
 type Sessions struct {
 	VM       topology.VMID `json:"vm"`
 	Sessions int           `json:"sessions"`
 	Serving  bool          `json:"serving"`
-	// Running counts requests and transactions at the targets pooled here.
+	// Running is the number of requests and transactions running at the targets
+	// that the daemon pools.
 	Running int `json:"running"`
 }
 
-// Config is what one daemon has in force.
+// Config is the configuration that one daemon has in force.
 type Config struct {
 	VM            topology.VMID `json:"vm"`
 	Config        uint64        `json:"config"`
 	PresetVersion uint64        `json:"preset_version"`
 	Preset        string        `json:"preset"`
 	Hash          string        `json:"hash"`
-	// Since is the daemon's own clock.
+	// Since is when the configuration came into force, by the daemon's clock.
 	Since time.Time `json:"since"`
 	// PlatformAge is how long ago the platform last answered, here or at the
 	// relay that this daemon follows.
