--- a/internal/ctl/customers_test.go
+++ b/internal/ctl/customers_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	r := metrics.New()
 	c := metrics.NewCustomers(r)
-	c.Name([]topology.CustomerID{"amber", "birch"})
+	c.SetNamed([]topology.CustomerID{"amber", "birch"})
 	c.Session("amber")
 	c.Session("amber")()
 	for range 9 {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -58,7 +58,7 @@
 		),
 		fx.Invoke(connectComponents, runBackgroundTasks, serveAdmin, servePeers, serveCallers),
 		fx.StopTimeout(stopTimeout),
-		fx.WithLogger(func(log *slog.Logger) fxevent.Logger { return logging.StartEvents{Log: log} }),
+		fx.WithLogger(func(log *slog.Logger) fxevent.Logger { return logging.StartFailures{Log: log} }),
 	)
 }
 
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -84,8 +84,8 @@
 			return result.New(result.ConfigInvalid, "%s is missing", name)
 		}
 	}
-	if n := len(s.OperatorSecret); n > 0 && n < opauth.MinSecret {
-		return result.New(result.ConfigInvalid, "operator_secret has %d bytes; %d or more are wanted", n, opauth.MinSecret)
+	if n := len(s.OperatorSecret); n > 0 && n < opauth.MinSecretLength {
+		return result.New(result.ConfigInvalid, "operator_secret has %d bytes; %d or more are wanted", n, opauth.MinSecretLength)
 	}
 	addresses := map[string]string{"caller_address": s.CallerAddress, "peer_address": s.PeerAddress}
 	if s.AdminAddress != "" {
--- a/internal/gatewayd/daemon.go
+++ b/internal/gatewayd/daemon.go
@@ -38,7 +38,7 @@
 		debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryMB<<20)))
 	}
 	return fx.New(
-		fx.WithLogger(func(l *logging) fxevent.Logger { return kvlog.StartEvents{Log: l.log, Flush: l.flush} }),
+		fx.WithLogger(func(l *logging) fxevent.Logger { return kvlog.StartFailures{Log: l.log, Flush: l.flush} }),
 		fx.StartTimeout(startTimeout),
 		fx.StopTimeout(s.Grace.Std()),
 		fx.Supply(s, settingsFile(path)),
--- a/internal/gatewayd/watch.go
+++ b/internal/gatewayd/watch.go
@@ -70,7 +70,7 @@
 	newer := p.Directory.SetConfiguration(c)
 	if newer {
 		p.Metrics.Configuration(c.Version)
-		p.Customers.Name(c.Customers.Largest(metrics.MostNamedCustomers))
+		p.Customers.SetNamed(c.Customers.Largest(metrics.MaxNamedCustomers))
 		p.Log.Info("event=configuration_in_force", "version", c.Version, "row_version", r.Version, "classes", len(c.Classes), "customers", c.Customers.Len(), "bytes", len(r.Value))
 	}
 	return newer
--- a/internal/logging/start.go
+++ b/internal/logging/start.go
@@ -6,9 +6,9 @@
 	"go.uber.org/fx/fxevent"
 )
 
-// StartEvents logs why a daemon failed to start, which otherwise exits without a message. It
+// StartFailures logs why a daemon failed to start, which otherwise exits without a message. It
 // ignores all other events of the fx container.
-type StartEvents struct {
+type StartFailures struct {
 	Log *slog.Logger
 	// Flush is called after the line is logged, since the process is about to exit. It is nil
 	// if lines are written immediately.
@@ -16,7 +16,7 @@
 }
 
 // LogEvent implements fxevent.Logger.
-func (s StartEvents) LogEvent(event fxevent.Event) {
+func (s StartFailures) LogEvent(event fxevent.Event) {
 	var err error
 	switch e := event.(type) {
 	case *fxevent.Invoked:
--- a/internal/metrics/customers.go
+++ b/internal/metrics/customers.go
@@ -19,9 +19,9 @@
 	OtherCustomers = "others"
 )
 
-// MostNamedCustomers is the largest number of customers with metrics of their own.
+// MaxNamedCustomers is the largest number of customers with metrics of their own.
 // All others are counted together.
-const MostNamedCustomers = 30
+const MaxNamedCustomers = 30
 
 // Customers records the requests and sessions of customers. A nil Customers records nothing.
 type Customers struct {
@@ -32,14 +32,14 @@
 	sessions map[string]int
 }
 
-// NewCustomers returns a recorder that reports to the registry. Until Name is
+// NewCustomers returns a recorder that reports to the registry. Until SetNamed is
 // called, all customers are counted together.
 func NewCustomers(r *Registry) *Customers {
 	return &Customers{scopes: scopes{root: r.scope}, sessions: map[string]int{}}
 }
 
-// Name sets the customers that have metrics of their own.
-func (c *Customers) Name(ids []topology.CustomerID) {
+// SetNamed sets the customers that have metrics of their own.
+func (c *Customers) SetNamed(ids []topology.CustomerID) {
 	if c == nil {
 		return
 	}
--- a/internal/opauth/opauth.go
+++ b/internal/opauth/opauth.go
@@ -29,12 +29,12 @@
 )
 
 const (
-	// MinSecret is the minimum length of a secret in bytes.
-	MinSecret = 16
-	// Window is the largest accepted difference between the operator's clock and the
+	// MinSecretLength is the minimum length of a secret in bytes.
+	MinSecretLength = 16
+	// MaxClockSkew is the largest accepted difference between the operator's clock and the
 	// daemon's. Requests beyond it are refused; nonces are remembered for as long as
 	// their requests are within it.
-	Window = 30 * time.Second
+	MaxClockSkew = 30 * time.Second
 	// maxBody is the maximum size of an operator's request body in bytes.
 	maxBody = 1 << 20
 	// maxNonces is the maximum number of remembered nonces, which bounds memory.
@@ -77,7 +77,7 @@
 }
 
 // Verifier passes correctly signed requests to the next handler. With a secret
-// shorter than MinSecret it refuses all requests. It is safe for concurrent use.
+// shorter than MinSecretLength it refuses all requests. It is safe for concurrent use.
 type Verifier struct {
 	Secret string
 	Next   http.Handler
@@ -104,7 +104,7 @@
 
 // check returns why the request is refused, or "" if it is accepted.
 func (v *Verifier) check(r *http.Request, body []byte) string {
-	if len(v.Secret) < MinSecret {
+	if len(v.Secret) < MinSecretLength {
 		return "this daemon has no operator_secret"
 	}
 	at, nonce := r.Header.Get(headerTime), r.Header.Get(headerNonce)
@@ -113,7 +113,7 @@
 		return "the credential is missing or wrong"
 	}
 	ms, err := strconv.ParseInt(at, 10, 64)
-	if err != nil || v.Now().Sub(time.UnixMilli(ms)).Abs() > Window {
+	if err != nil || v.Now().Sub(time.UnixMilli(ms)).Abs() > MaxClockSkew {
 		return "the request's time is too far from this daemon's"
 	}
 	if !v.firstUse(nonce) {
@@ -139,7 +139,7 @@
 	if _, used := v.nonces[nonce]; used || len(v.nonces) >= maxNonces {
 		return false
 	}
-	v.nonces[nonce] = now.Add(2 * Window)
+	v.nonces[nonce] = now.Add(2 * MaxClockSkew)
 	return true
 }
 
--- a/internal/opauth/opauth_test.go
+++ b/internal/opauth/opauth_test.go
@@ -76,7 +76,7 @@
 		Entry("with another time", secret, now.Add(-time.Hour), func(r *http.Request) {
 			r.Header.Set("Bts-Time", "1")
 		}),
-		Entry("when it is old", secret, now.Add(-opauth.Window-time.Second), unchanged),
+		Entry("when it is old", secret, now.Add(-opauth.MaxClockSkew-time.Second), unchanged),
 	)
 
 	It("is refused when it is replayed", func() {
