--- a/internal/gatewayd/watch.go
+++ b/internal/gatewayd/watch.go
@@ -72,7 +72,7 @@
 	newer := d.Directory.SetConfiguration(c)
 	if newer {
 		d.Metrics.Configuration(c.Version)
-		d.Customers.Name(c.Customers.Largest(metrics.MostNamedCustomers))
+		d.Customers.SetNamed(c.Customers.Largest(metrics.MaxNamedCustomers))
 		d.Log.Info("event=configuration_in_force", "version", c.Version, "row_version", r.Version, "classes", len(c.Classes), "customers", c.Customers.Len(), "bytes", len(r.Value))
 	}
 	return newer
