--- a/internal/ctl/args.go
+++ b/internal/ctl/args.go
@@ -8,7 +8,7 @@
 	"github.com/alexflint/go-arg"
 )
 
-// arguments is the command line.
+// arguments holds the parsed command line.
 type arguments struct {
 	Check     *checkCommand     `arg:"subcommand:check" help:"check a configuration file, offline"`
 	Diff      *diffCommand      `arg:"subcommand:diff" help:"tell what differs between two configuration files, offline"`
@@ -31,7 +31,7 @@
 	JSON     bool   `arg:"--json" help:"write JSON in place of a table"`
 }
 
-// Description is go-arg's text above the usage.
+// Description returns the text that go-arg prints above the usage.
 func (arguments) Description() string {
 	return "bts-ctl checks and changes the configuration of buckthornshore.\n" +
 		"Exit codes: 0 ok, 1 refused, 2 usage, 3 platform or daemon unavailable, 4 outcome unknown."
@@ -118,20 +118,20 @@
 	ExpectVersion *uint64 `arg:"--expect-version" help:"refuse when another switch came first [default: the last one seen]"`
 }
 
-// parse reads the command line. It reports false when the program ends here,
-// with the exit code: after help, or a wrong command line.
+// parse parses the command line. It returns false, with the exit code, if the
+// program is to exit: after printing help, or if the command line is wrong.
 func parse(argv []string, stdout, stderr io.Writer) (*arguments, int, bool) {
 	a := &arguments{}
 	p, err := arg.NewParser(arg.Config{Program: programName, IgnoreEnv: true}, a)
 	if err != nil {
-		panic(err) // The tags above are wrong; any test finds it.
+		panic(err) // Only if the struct tags above are wrong, which any test finds.
 	}
 	err = p.Parse(argv)
 	if errors.Is(err, arg.ErrHelp) {
 		p.WriteHelp(stdout)
 		return nil, ExitOK, false
 	}
-	if err == nil && !complete(a) {
+	if err == nil && !commandGiven(a) {
 		err = errors.New("a command is missing")
 	}
 	if err != nil {
@@ -142,7 +142,9 @@
 	return a, ExitOK, true
 }
 
-func complete(a *arguments) bool {
+// commandGiven reports whether the command line has a command and, where one is
+// required, its subcommand or exactly one of its arguments.
+func commandGiven(a *arguments) bool {
 	if a.Preset != nil {
 		return a.Preset.List != nil || a.Preset.Show != nil || a.Preset.Switch != nil
 	}
@@ -152,6 +154,6 @@
 	if a.Drain != nil {
 		return (a.Drain.Target == "") != (a.Drain.VM == "")
 	}
-	operators := a.Status != nil || a.Explain != nil || a.Switchover != nil || a.Completion != nil
-	return operators || a.Check != nil || a.Diff != nil || a.Trace != nil || a.Report != nil || a.Customers != nil || a.Apply != nil || a.History != nil || a.Rollback != nil
+	daemonOrCompletion := a.Status != nil || a.Explain != nil || a.Switchover != nil || a.Completion != nil
+	return daemonOrCompletion || a.Check != nil || a.Diff != nil || a.Trace != nil || a.Report != nil || a.Customers != nil || a.Apply != nil || a.History != nil || a.Rollback != nil
 }
--- a/internal/ctl/completion.go
+++ b/internal/ctl/completion.go
@@ -6,7 +6,8 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// bashCompletion completes the commands and their fixed words.
+// bashCompletion is a bash script that completes commands, their subcommands and
+// fixed arguments.
 const bashCompletion = `_bts_ctl() {
   local word="${COMP_WORDS[COMP_CWORD]}" words
   case "${COMP_WORDS[1]}" in
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -11,28 +11,29 @@
 
 const programName = "bts-ctl"
 
-// Exit codes.
+// Exit codes of Run.
 const (
 	ExitOK = 0
-	// ExitRefused: the change was refused, by a conflict or a fault of it, and
-	// nothing was done.
+	// ExitRefused means that the command was refused, because of a conflict or an
+	// error in it, and that nothing was changed.
 	ExitRefused = 1
 	ExitUsage   = 2
-	// ExitUnavailable: the platform or the daemon can't be reached; nothing was
-	// done.
+	// ExitUnavailable means that the platform or the daemon can't be reached and
+	// that nothing was changed.
 	ExitUnavailable = 3
-	// ExitUnknown: the change may have been made; look at the history.
+	// ExitUnknown means that the change may have been made; the history shows
+	// whether it was.
 	ExitUnknown = 4
 )
 
-// tool is one run.
+// tool is one run of the command-line tool.
 type tool struct {
 	args *arguments
 	out  *output
 }
 
-// Run executes one command line and returns its exit code. Answers go to stdout,
-// messages to stderr.
+// Run executes one command line and returns its exit code. Results are written
+// to stdout, messages to stderr.
 func Run(ctx context.Context, argv []string, stdout, stderr io.Writer) int {
 	args, code, ok := parse(argv, stdout, stderr)
 	if !ok {
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -33,20 +33,20 @@
 
 func example(name string) string { return filepath.Join("..", "..", "examples", name) }
 
-// scratch writes a file for one spec.
-func scratch(name, text string) string {
+// writeTempFile writes a file that is removed after the spec.
+func writeTempFile(name, text string) string {
 	GinkgoHelper()
 	path := filepath.Join(GinkgoT().TempDir(), name)
 	Expect(os.WriteFile(path, []byte(text), 0o600)).To(Succeed())
 	return path
 }
 
-func edited(name, old, replacement string) string {
+func editedExample(name, old, replacement string) string {
 	GinkgoHelper()
 	raw, err := os.ReadFile(example(name))
 	Expect(err).NotTo(HaveOccurred())
 	Expect(string(raw)).To(ContainSubstring(old))
-	return scratch(name, strings.Replace(string(raw), old, replacement, 1))
+	return writeTempFile(name, strings.Replace(string(raw), old, replacement, 1))
 }
 
 var _ = Describe("Offline", func() {
@@ -56,8 +56,8 @@
 		Expect(stdout).To(ContainSubstring("kalakvoot.json: valid, 0 warnings, hash "))
 	})
 
-	It("tells every problem on a line of its own, then the result code", func() {
-		file := edited("kalakvoot.json", `"slots"`, `"slot"`)
+	It("prints each problem on a line of its own, then the result code", func() {
+		file := editedExample("kalakvoot.json", `"slots"`, `"slot"`)
 		code, stdout, stderr := run("check", file)
 		Expect(code).To(Equal(ctl.ExitRefused))
 		Expect(stdout).To(BeEmpty())
@@ -69,8 +69,8 @@
 		Expect(stdout).To(ContainSubstring(`"valid": false`))
 	})
 
-	It("tells what differs", func() {
-		file := edited("kalakvoot.json", `"weight": 10`, `"weight": 11`)
+	It("prints the differences", func() {
+		file := editedExample("kalakvoot.json", `"weight": 10`, `"weight": 11`)
 		code, stdout, _ := run("diff", example("kalakvoot.json"), file)
 		Expect(code).To(Equal(ctl.ExitOK))
 		Expect(stdout).To(Equal("~ members[kalakvoot].weight: 10 -> 11\n"))
@@ -94,24 +94,25 @@
 		Expect(stderr).To(ContainSubstring("Usage: bts-ctl"))
 	},
 		Entry("no command"),
-		Entry("an unknown one", "destroy"),
-		Entry("no file", "check"),
-		Entry("half a command", "preset"),
-		Entry("half of another", "config"),
+		Entry("an unknown command", "destroy"),
+		Entry("a missing file argument", "check"),
+		Entry("preset without a subcommand", "preset"),
+		Entry("config without a subcommand", "config"),
 		Entry("nothing to drain", "drain"),
-		Entry("two things to drain", "drain", "target", "--vm", "vm"),
-		Entry("no version", "apply", "f"),
+		Entry("both a target and a VM to drain", "drain", "target", "--vm", "vm"),
+		Entry("apply without the expected version", "apply", "f"),
 	)
 })
 
 var _ = Describe("Online", func() {
 	var (
 		settings string
-		// intercept stands before the platform; false: answered already.
+		// intercept is called before the platform; it returns false if it has answered
+		// the request itself.
 		intercept func(http.ResponseWriter, *http.Request) bool
 		served    http.Handler
 	)
-	ctl1 := func(argv ...string) (int, string, string) {
+	runOnline := func(argv ...string) (int, string, string) {
 		return run(append(argv, "--settings", settings)...)
 	}
 
@@ -124,53 +125,53 @@
 			}
 		}))
 		DeferCleanup(server.Close)
-		settings = scratch("bts-ctl.json", fmt.Sprintf(`{"platform_url": %q, "operator": "mari", "timeout": "2s"}`, server.URL))
+		settings = writeTempFile("bts-ctl.json", fmt.Sprintf(`{"platform_url": %q, "operator": "mari", "timeout": "2s"}`, server.URL))
 	})
 
 	It("applies, conflicts, switches, rolls back and lists", func() {
-		code, stdout, stderr := ctl1("apply", example("kalakvoot.json"), "--expect-version", "0")
+		code, stdout, stderr := runOnline("apply", example("kalakvoot.json"), "--expect-version", "0")
 		Expect(code).To(Equal(ctl.ExitOK), stderr)
 		Expect(stdout).To(Equal("configuration version 1 accepted\n"))
 
-		code, _, stderr = ctl1("apply", example("both.json"), "--expect-version", "0")
+		code, _, stderr = runOnline("apply", example("both.json"), "--expect-version", "0")
 		Expect(code).To(Equal(ctl.ExitRefused))
 		Expect(stderr).To(And(HavePrefix("BTS-1301 "), ContainSubstring("version 1 by mari at ")))
 
-		code, _, stderr = ctl1("preset", "switch", "storm")
+		code, _, stderr = runOnline("preset", "switch", "storm")
 		Expect(code).To(Equal(ctl.ExitRefused))
 		Expect(stderr).To(HavePrefix("BTS-1305 "))
 
-		code, stdout, _ = ctl1("preset", "switch", "peak")
+		code, stdout, _ = runOnline("preset", "switch", "peak")
 		Expect(code).To(Equal(ctl.ExitOK))
 		Expect(stdout).To(Equal("preset peak in force, switch 1\n"))
 
-		_, stdout, _ = ctl1("preset", "list")
+		_, stdout, _ = runOnline("preset", "list")
 		Expect(stdout).To(MatchRegexp(`peak +yes`))
-		_, stdout, _ = ctl1("preset", "show", "--json")
+		_, stdout, _ = runOnline("preset", "show", "--json")
 		Expect(stdout).To(ContainSubstring(`"preset": "peak"`))
 
-		code, stdout, _ = ctl1("rollback", "1")
+		code, stdout, _ = runOnline("rollback", "1")
 		Expect(code).To(Equal(ctl.ExitOK))
 		Expect(stdout).To(Equal("configuration version 2 accepted, with the content of 1\n"))
-		_, stdout, _ = ctl1("history")
+		_, stdout, _ = runOnline("history")
 		Expect(stdout).To(MatchRegexp(`(?m)^2 +mari +\S+ +[0-9a-f]{12} +1$`))
 	})
 
-	It("says that the platform is unavailable and nothing was done", func() {
+	It("reports that the platform is unavailable and nothing was done", func() {
 		intercept = func(w http.ResponseWriter, _ *http.Request) bool {
 			http.Error(w, "outage", http.StatusServiceUnavailable)
 			return false
 		}
-		code, stdout, stderr := ctl1("apply", example("kalakvoot.json"), "--expect-version", "0", "--json")
+		code, stdout, stderr := runOnline("apply", example("kalakvoot.json"), "--expect-version", "0", "--json")
 		Expect(code).To(Equal(ctl.ExitUnavailable))
 		Expect(stderr).To(And(HavePrefix("BTS-1303 "), ContainSubstring("(not run)")))
 		Expect(stdout).To(ContainSubstring(`"code": 1303`))
 	})
 
-	// The table applies the change, its answer is lost, and then the platform is
-	// out. The operator must hear neither "done" nor "not run", and how to find
-	// out; once the platform is back, the history shows the change.
-	It("says that the outcome is unknown, and the history tells later", func() {
+	// The platform commits the change, its answer is lost, and then the platform is
+	// unavailable. The tool must report neither success nor "not run", and must say
+	// how to find out; once the platform is back, the history shows the change.
+	It("reports an unknown outcome, which the history resolves later", func() {
 		down := false
 		intercept = func(w http.ResponseWriter, r *http.Request) bool {
 			if strings.HasSuffix(r.URL.Path, "/Commit") {
@@ -182,15 +183,15 @@
 			}
 			return !down
 		}
-		code, _, stderr := ctl1("apply", example("kalakvoot.json"), "--expect-version", "0")
+		code, _, stderr := runOnline("apply", example("kalakvoot.json"), "--expect-version", "0")
 		Expect(code).To(Equal(ctl.ExitUnknown))
 		Expect(stderr).To(And(HavePrefix("BTS-1304 "), ContainSubstring("look for it in the history")))
 		intercept = func(http.ResponseWriter, *http.Request) bool { return true }
-		_, stdout, _ := ctl1("history")
+		_, stdout, _ := runOnline("history")
 		Expect(stdout).To(MatchRegexp(`(?m)^1 +mari `))
 	})
 
-	// As above, but the platform answers the look-up: the operator hears "done".
+	// As above, but the platform answers the look-up, so the tool reports success.
 	It("finds its own change after a lost answer", func() {
 		lost := false
 		intercept = func(w http.ResponseWriter, r *http.Request) bool {
@@ -202,7 +203,7 @@
 			http.Error(w, "lost", http.StatusServiceUnavailable)
 			return false
 		}
-		code, stdout, stderr := ctl1("apply", example("kalakvoot.json"), "--expect-version", "0")
+		code, stdout, stderr := runOnline("apply", example("kalakvoot.json"), "--expect-version", "0")
 		Expect(code).To(Equal(ctl.ExitOK), stderr)
 		Expect(stdout).To(Equal("configuration version 1 accepted\n"))
 	})
--- a/internal/ctl/customers.go
+++ b/internal/ctl/customers.go
@@ -14,7 +14,7 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// customerRow is what one customer asked for at all VMs that were asked.
+// customerRow is the sessions and requests of one customer, summed over the VMs queried.
 type customerRow struct {
 	Customer string           `json:"customer"`
 	Sessions int              `json:"sessions"`
@@ -22,17 +22,19 @@
 	Limited  int64            `json:"limited"`
 	Failed   int64            `json:"failed"`
 	Results  map[string]int64 `json:"results"`
-	// P50 and P99 are the bounds of the histogram's buckets that hold them.
+	// P50 and P99 are the upper bounds of the histogram buckets that hold these
+	// quantiles of the latency; empty without requests.
 	P50 string `json:"p50"`
 	P99 string `json:"p99"`
 
 	buckets []metrics.Bucket
 }
 
-// metricsTimeout bounds the answer of one VM.
+// metricsTimeout is the timeout for reading the metrics of one VM.
 const metricsTimeout = 3 * time.Second
 
-// customers sums up what daemons count by customer. It needs no settings: it reads their admin addresses.
+// customers prints the daemons' per-customer metrics, summed over the daemons. It needs no
+// settings file: it reads the admin addresses given as arguments.
 func (t *tool) customers(ctx context.Context, c *customersCommand) error {
 	rows := map[string]*customerRow{}
 	for _, address := range c.Addresses {
@@ -52,7 +54,7 @@
 	for _, r := range sorted {
 		table.rows = append(table.rows, []string{
 			r.Customer, strconv.Itoa(r.Sessions), strconv.FormatInt(r.Served, 10), strconv.FormatInt(r.Limited, 10),
-			strconv.FormatInt(r.Failed, 10), dash(r.P50), dash(r.P99),
+			strconv.FormatInt(r.Failed, 10), orDash(r.P50), orDash(r.P99),
 		})
 	}
 	return t.out.answer(sorted, table)
@@ -84,7 +86,7 @@
 	}
 	for _, c := range s.Counters {
 		if c.Name == metrics.CustomerRequests {
-			row(c.Tags).count(c.Tags[metrics.TagResult], c.Value)
+			row(c.Tags).addResult(c.Tags[metrics.TagResult], c.Value)
 		}
 	}
 	for _, g := range s.Gauges {
@@ -100,7 +102,7 @@
 	}
 }
 
-func (r *customerRow) count(outcome string, n int64) {
+func (r *customerRow) addResult(outcome string, n int64) {
 	r.Results[outcome] += n
 	switch outcome {
 	case metrics.ResultOK:
@@ -112,7 +114,7 @@
 	}
 }
 
-// addBuckets adds histograms up; all daemons have the same bounds.
+// addBuckets adds the counts of a histogram to sum; all daemons use the same bucket bounds.
 func addBuckets(sum, more []metrics.Bucket) []metrics.Bucket {
 	if sum == nil {
 		return slices.Clone(more)
@@ -123,8 +125,9 @@
 	return sum
 }
 
-// quantile returns the bound of the bucket that holds a part of all durations, or "".
-func quantile(buckets []metrics.Bucket, part float64) string {
+// quantile returns the upper bound of the bucket that holds quantile q (0 to 1), or "" if the
+// histogram is empty.
+func quantile(buckets []metrics.Bucket, q float64) string {
 	total := int64(0)
 	for _, b := range buckets {
 		total += b.Count
@@ -132,7 +135,7 @@
 	seen := int64(0)
 	for _, b := range buckets {
 		seen += b.Count
-		if total > 0 && float64(seen) >= part*float64(total) {
+		if total > 0 && float64(seen) >= q*float64(total) {
 			return b.UpTo
 		}
 	}
--- a/internal/ctl/customers_test.go
+++ b/internal/ctl/customers_test.go
@@ -14,7 +14,8 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// serveCustomers serves the metrics of a VM at which two customers asked for something, and one that is not named.
+// serveCustomers serves the metrics of a VM with requests of two customers that are counted by name, and of one
+// that is not.
 func serveCustomers(t *testing.T) string {
 	t.Helper()
 	r := metrics.New()
@@ -36,7 +37,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func TestCustomersOfAllVMsAreSummedUp(t *testing.T) {
+func TestCustomersSumsOverAllVMs(t *testing.T) {
 	one, two := serveCustomers(t), serveCustomers(t)
 	var out, errs bytes.Buffer
 	if code := Run(t.Context(), []string{"--json", "customers", one, two}, &out, &errs); code != 0 {
@@ -61,7 +62,7 @@
 	}
 }
 
-func TestAVMThatDoesNotAnswerIsToldOf(t *testing.T) {
+func TestCustomersFailsIfAVMIsUnreachable(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	server.Close()
 	var out, errs bytes.Buffer
--- a/internal/ctl/daemon.go
+++ b/internal/ctl/daemon.go
@@ -17,7 +17,7 @@
 	"github.com/buckthornshore/buckthornshore/rpc/peerpb"
 )
 
-// daemonAt returns the operators' service of the daemon at an address.
+// daemonAt returns a client of the Admin service of the daemon at an address.
 func (o *online) daemonAt(address string) peerpb.Admin {
 	client := &http.Client{Transport: &opauth.Signer{
 		Secret: o.settings.OperatorSecret,
@@ -27,7 +27,7 @@
 	return peerpb.NewAdminProtobufClient("http://"+address, client)
 }
 
-// daemon returns the one that the settings name.
+// daemon returns a client of the daemon that the settings name.
 func (o *online) daemon() (peerpb.Admin, error) {
 	if o.settings.Daemon == "" || o.settings.OperatorSecret == "" {
 		return nil, result.New(result.ConfigInvalid, "%s: daemon and operator_secret are needed", o.args.Settings)
@@ -35,7 +35,9 @@
 	return o.daemonAt(o.settings.Daemon), nil
 }
 
-// callResult says what a failed call to a daemon means.
+// callResult converts the error of a call to a daemon to a result. Only a refused
+// authentication or a failed dial shows that the call was not executed; after any
+// other error the outcome is unknown.
 func callResult(err error) error {
 	var refused twirp.Error
 	if errors.As(err, &refused) && refused.Code() == twirp.Unauthenticated {
@@ -48,8 +50,8 @@
 	return result.New(result.OutcomeUnknown, "%v", err)
 }
 
-// ask reads one kind of status from a daemon.
-func ask(ctx context.Context, d peerpb.Admin, kind string, out any) error {
+// fetchStatus reads one kind of status from a daemon.
+func fetchStatus(ctx context.Context, d peerpb.Admin, kind string, out any) error {
 	resp, err := d.Status(ctx, &peerpb.StatusRequest{Kind: kind})
 	return decodeStatus(resp, err, out)
 }
@@ -67,7 +69,7 @@
 	return nil
 }
 
-// switchover asks the daemon that pools the group's primary.
+// switchover requests a switchover from the daemon that pools the group's primary.
 func (o *online) switchover(ctx context.Context, c *switchoverCommand) error {
 	d, err := o.daemon()
 	if err != nil {
@@ -88,17 +90,17 @@
 		Group string `json:"group"`
 		Term  uint64 `json:"term"`
 	}{c.Group, resp.Term}
-	return o.out.line(answer, "group %s has its primary of term %d", c.Group, resp.Term)
+	return o.out.line(answer, "group %s has a primary in term %d", c.Group, resp.Term)
 }
 
-// primaryPooler finds the peer address of the VM that pools the group's primary.
+// primaryPooler returns the peer address of the VM that pools the group's primary.
 func primaryPooler(ctx context.Context, d peerpb.Admin, group string) (string, error) {
 	var groups []status.Group
-	if err := ask(ctx, d, status.KindGroups, &groups); err != nil {
+	if err := fetchStatus(ctx, d, status.KindGroups, &groups); err != nil {
 		return "", err
 	}
 	var vms []status.VM
-	if err := ask(ctx, d, status.KindVMs, &vms); err != nil {
+	if err := fetchStatus(ctx, d, status.KindVMs, &vms); err != nil {
 		return "", err
 	}
 	for _, g := range groups {
@@ -115,14 +117,14 @@
 	return "", result.New(result.NotFound, "group %s", group)
 }
 
-// drainVM begins a planned stop of a daemon.
+// drainVM starts the planned stop of a daemon.
 func (o *online) drainVM(ctx context.Context, id string) error {
 	d, err := o.daemon()
 	if err != nil {
 		return err
 	}
 	var vms []status.VM
-	if err := ask(ctx, d, status.KindVMs, &vms); err != nil {
+	if err := fetchStatus(ctx, d, status.KindVMs, &vms); err != nil {
 		return err
 	}
 	for _, vm := range vms {
@@ -132,7 +134,7 @@
 		if _, err := o.daemonAt(vm.PeerAddress).Leave(ctx, &peerpb.LeaveRequest{}); err != nil {
 			return callResult(err)
 		}
-		return o.out.line(vm, "daemon %s leaves", id)
+		return o.out.line(vm, "daemon %s is leaving", id)
 	}
 	return result.New(result.NotFound, "VM %s", id)
 }
@@ -142,14 +144,14 @@
 	if c.VM != "" {
 		return o.drainVM(ctx, c.VM)
 	}
-	now, err := o.store.Read(ctx)
+	current, err := o.store.Read(ctx)
 	if err != nil {
 		return err
 	}
-	if now.Config.Version == 0 {
+	if current.Config.Version == 0 {
 		return result.New(result.NotFound, "no configuration was applied yet")
 	}
-	doc, err := o.store.Load(ctx, now.Config)
+	doc, err := o.store.Load(ctx, current.Config)
 	if err != nil {
 		return err
 	}
@@ -160,11 +162,11 @@
 				continue
 			}
 			t.Leaving = true
-			version, err := o.store.Apply(ctx, doc, now.Config.Version, o.settings.Operator)
+			version, err := o.store.Apply(ctx, doc, current.Config.Version, o.settings.Operator)
 			if err != nil {
 				return err
 			}
-			return o.out.line(versionAnswer{version}, "target %s leaves, configuration version %d", c.Target, version)
+			return o.out.line(versionAnswer{version}, "target %s is leaving, configuration version %d", c.Target, version)
 		}
 	}
 	return result.New(result.NotFound, "target %s", c.Target)
--- a/internal/ctl/offline.go
+++ b/internal/ctl/offline.go
@@ -7,7 +7,7 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// checkAnswer is what check says in JSON.
+// checkAnswer is the JSON output of check.
 type checkAnswer struct {
 	File     string           `json:"file"`
 	Valid    bool             `json:"valid"`
@@ -35,7 +35,7 @@
 			if err := t.out.writeJSON(answer); err != nil {
 				return err
 			}
-			t.out.json = false // The problems say it; one answer is enough.
+			t.out.json = false // The output above has the problems; Run must not write a second JSON value.
 		}
 		return invalid(c.File, problems)
 	}
@@ -61,7 +61,8 @@
 	return nil
 }
 
-// load reads a valid document; problems go to stderr, a line each.
+// load reads a configuration file and returns an error if it is invalid. It prints
+// each problem on a line of stderr.
 func (t *tool) load(file string) (*config.Document, error) {
 	raw, err := readFile(file)
 	if err != nil {
--- a/internal/ctl/online.go
+++ b/internal/ctl/online.go
@@ -14,7 +14,8 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// defaultTimeout bounds one command, the look-up of a lost answer included.
+// defaultTimeout is the timeout of one command, including the look-up of a change
+// whose answer was lost.
 const defaultTimeout = settings.Duration(15 * time.Second)
 
 // Settings is the tool's settings file.
@@ -23,15 +24,16 @@
 	PlatformURL string `json:"platform_url"`
 	// Operator is the name that changes are recorded under.
 	Operator string `json:"operator"`
-	// Daemon is one daemon's admin or peer address; it tells the others'.
+	// Daemon is the admin or peer address of one daemon, which returns the addresses
+	// of the others.
 	Daemon string `json:"daemon"`
-	// OperatorSecret is the one of the daemons' settings.
+	// OperatorSecret is the operator secret in the daemons' settings.
 	OperatorSecret string `json:"operator_secret"`
-	// Timeout bounds one command; 15 s when left out.
+	// Timeout is the timeout of one command; 15 s if it is not set.
 	Timeout settings.Duration `json:"timeout"`
 }
 
-// online is a run against the platform.
+// online is a run of a command that uses the platform or a daemon.
 type online struct {
 	*tool
 	settings Settings
@@ -66,7 +68,7 @@
 	}
 }
 
-// versionAnswer is the JSON of an accepted change.
+// versionAnswer is the JSON output of an accepted change.
 type versionAnswer struct {
 	Version uint64 `json:"version"`
 }
@@ -90,17 +92,17 @@
 	}
 	t := table{header: []string{"VERSION", "OPERATOR", "AT", "HASH", "ROLLBACK OF"}}
 	for _, v := range versions {
-		t.rows = append(t.rows, []string{number(v.Version), v.Operator, stamp(v.At), shortHash(v.Hash), number(v.RollbackOf)})
+		t.rows = append(t.rows, []string{formatNumber(v.Version), v.Operator, formatTime(v.At), shortHash(v.Hash), formatNumber(v.RollbackOf)})
 	}
 	return o.out.answer(append([]store.ConfigVersion{}, versions...), t)
 }
 
 func (o *online) rollback(ctx context.Context, c *rollbackCommand) error {
-	now, err := o.store.Read(ctx)
+	current, err := o.store.Read(ctx)
 	if err != nil {
 		return err
 	}
-	expect := now.Config.Version
+	expect := current.Config.Version
 	if c.ExpectVersion != nil {
 		expect = *c.ExpectVersion
 	}
@@ -111,25 +113,25 @@
 	return o.out.line(versionAnswer{version}, "configuration version %d accepted, with the content of %d", version, c.Version)
 }
 
-// presetAnswer is one preset in JSON.
+// presetAnswer is one preset in the JSON output.
 type presetAnswer struct {
 	Name    string `json:"name"`
 	InForce bool   `json:"in_force"`
 }
 
 func (o *online) listPresets(ctx context.Context) error {
-	now, err := o.store.Read(ctx)
+	current, err := o.store.Read(ctx)
 	if err != nil {
 		return err
 	}
-	if now.Config.Version == 0 {
+	if current.Config.Version == 0 {
 		return result.New(result.NotFound, "no configuration was applied yet")
 	}
-	doc, err := o.store.Load(ctx, now.Config)
+	doc, err := o.store.Load(ctx, current.Config)
 	if err != nil {
 		return err
 	}
-	answers, t := presetsOf(doc, now.Preset.Preset)
+	answers, t := presetsOf(doc, current.Preset.Preset)
 	return o.out.answer(answers, t)
 }
 
@@ -145,22 +147,22 @@
 }
 
 func (o *online) showPreset(ctx context.Context) error {
-	now, err := o.store.Read(ctx)
+	current, err := o.store.Read(ctx)
 	if err != nil {
 		return err
 	}
-	p := now.Preset
+	p := current.Preset
 	t := table{header: []string{"PRESET", "VERSION", "OPERATOR", "AT"}}
-	t.rows = [][]string{{p.Preset, number(p.Version), dash(p.Operator), stamp(p.At)}}
+	t.rows = [][]string{{p.Preset, formatNumber(p.Version), orDash(p.Operator), formatTime(p.At)}}
 	return o.out.answer(p, t)
 }
 
 func (o *online) switchPreset(ctx context.Context, c *presetSwitchCommand) error {
-	now, err := o.store.Read(ctx)
+	current, err := o.store.Read(ctx)
 	if err != nil {
 		return err
 	}
-	expect := now.Preset.Version
+	expect := current.Preset.Version
 	if c.ExpectVersion != nil {
 		expect = *c.ExpectVersion
 	}
@@ -171,29 +173,30 @@
 	return o.out.line(versionAnswer{version}, "preset %s in force, switch %d", c.Name, version)
 }
 
-// number writes a version; 0 stands for none.
-func number(n uint64) string {
+// formatNumber formats a version or term; 0 stands for none and is shown as a dash.
+func formatNumber(n uint64) string {
 	if n == 0 {
-		return dash("")
+		return orDash("")
 	}
 	return strconv.FormatUint(n, 10)
 }
 
-func stamp(at time.Time) string {
+func formatTime(at time.Time) string {
 	if at.IsZero() {
-		return dash("")
+		return orDash("")
 	}
 	return at.UTC().Format(time.RFC3339)
 }
 
-func dash(s string) string {
+func orDash(s string) string {
 	if s == "" {
 		return "-"
 	}
 	return s
 }
 
-// shortHashLength is enough of a hash for a person to tell versions apart.
+// shortHashLength is the number of characters of a hash that tables show, enough
+// for a person to tell versions apart.
 const shortHashLength = 12
 
 func shortHash(hash string) string { return hash[:min(shortHashLength, len(hash))] }
--- a/internal/ctl/output.go
+++ b/internal/ctl/output.go
@@ -16,13 +16,13 @@
 	json           bool
 }
 
-// table is rows below a header.
+// table is a header and the rows below it.
 type table struct {
 	header []string
 	rows   [][]string
 }
 
-// answer writes value as JSON or as its table.
+// answer writes value as JSON, or t in its place as text.
 func (o *output) answer(value any, t table) error {
 	if o.json {
 		return o.writeJSON(value)
@@ -35,7 +35,7 @@
 	return w.Flush()
 }
 
-// line writes value as JSON or as one line of text.
+// line writes value as JSON, or one line of text in its place.
 func (o *output) line(value any, format string, args ...any) error {
 	if o.json {
 		return o.writeJSON(value)
@@ -50,7 +50,7 @@
 	return enc.Encode(value)
 }
 
-// failureMessage is a failed run in JSON.
+// failureMessage is the JSON output of a failed run.
 type failureMessage struct {
 	Code   int    `json:"code"`
 	Name   string `json:"name"`
@@ -58,8 +58,8 @@
 	Detail string `json:"detail"`
 }
 
-// failure writes one line with the BTS number, and in JSON the same to stdout
-// for programs.
+// failure writes the error, with its BTS number, as one line to stderr. With --json
+// it also writes it to stdout, for programs.
 func (o *output) failure(r *result.Error) {
 	printLine(o.stderr, "%s", strings.ReplaceAll(r.Error(), "\n", "; "))
 	if !o.json {
--- a/internal/ctl/report.go
+++ b/internal/ctl/report.go
@@ -11,29 +11,29 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// cause is why a request failed or was late, as far as its own line tells.
+// cause is why a request failed or was late, according to its log line alone.
 type cause string
 
-// The causes, in the order of a request's way.
+// The causes, in the order in which a request can meet them.
 const (
-	causeRight    cause = "right"    // no right to acknowledge at the primary
+	causeRight    cause = "right"    // no primary, or it had no right to acknowledge
 	causeAge      cause = "age"      // no replica could be shown to be new enough
-	causeFloor    cause = "floor"    // no target held what the session has to see
-	causeQueue    cause = "queue"    // it waited for a connection in vain
-	causeDial     cause = "dial"     // no connection to a target could be had
-	causeDatabase cause = "database" // the target refused for its load, or took too long
+	causeFloor    cause = "floor"    // no target had reached the session's floor
+	causeQueue    cause = "queue"    // no connection became free: the queue was full or the deadline passed
+	causeDial     cause = "dial"     // no connection to a target could be opened, or it was the wrong target
+	causeDatabase cause = "database" // the target was overloaded, failed, was leaving or took too long
 	causeCut      cause = "cut"      // a connection broke, or a transaction was ended
 	causeLimit    cause = "limit"    // its customer's limit was reached
 	causeRefused  cause = "refused"  // anything else
-	causeLate     cause = "late"     // answered after its class's objective, mostly at the target
-	causeLateWait cause = "waited"   // the same, after waiting for a connection for most of the time
+	causeLate     cause = "late"     // answered later than its class's objective, most of the time not spent in the queue
+	causeLateWait cause = "waited"   // answered later than its class's objective, most of the time spent in the queue
 )
 
 var causes = []cause{
 	causeRight, causeAge, causeFloor, causeQueue, causeDial, causeDatabase, causeCut, causeLimit, causeRefused, causeLate, causeLateWait,
 }
 
-// causeOf groups the results by what an operator would look at next.
+// causeOf groups result codes by what an operator would examine next.
 var causeOf = map[result.Code]cause{
 	result.NoRight:            causeRight,
 	result.NoPrimary:          causeRight,
@@ -53,14 +53,16 @@
 	result.MemberLimit:        causeLimit,
 }
 
-// reportRow counts the requests of one group of lines by cause.
+// reportRow counts, by cause, the lost requests that share a window, class, group, data
+// centre or VM.
 type reportRow struct {
 	Name   string        `json:"name"`
 	Causes map[cause]int `json:"causes"`
 	Total  int           `json:"total"`
 }
 
-// lossReport says where requests were lost: when, and of which class, group, data centre and VM.
+// lossReport counts the lost requests, those that failed or were late, by window of time,
+// class, group, data centre and VM.
 type lossReport struct {
 	From        time.Time   `json:"from"`
 	Window      string      `json:"window"`
@@ -71,7 +73,7 @@
 	VMs         []reportRow `json:"vms"`
 }
 
-// report prints what the logs of several daemons tell of all requests that failed or were late.
+// report prints the counts of all requests that failed or were late in the logs of several daemons.
 func (t *tool) report(c *reportCommand) error {
 	if c.Window <= 0 {
 		return result.New(result.BadOption, "the window is %v, it must be positive", c.Window)
@@ -90,16 +92,16 @@
 	return t.printReport(r)
 }
 
-// reportOf counts; it reports false if there is nothing to count.
+// reportOf counts the requests that failed or were late; it returns false if there are none.
 func reportOf(lines []logLine, window time.Duration) (lossReport, bool) {
 	var lost []logLine
-	place := map[string]string{}
+	dataCentres := map[string]string{}
 	for _, line := range lines {
 		switch line.Event {
 		case "request_failed", "request_late":
 			lost = append(lost, line)
 		case "started":
-			place[line.VM] = line.Fields["data_centre"]
+			dataCentres[line.VM] = line.Fields["data_centre"]
 		}
 	}
 	if len(lost) == 0 {
@@ -107,29 +109,30 @@
 	}
 	slices.SortStableFunc(lost, func(a, b logLine) int { return a.At.Compare(b.At) })
 	from := lost[0].At.Truncate(window)
-	number := func(l logLine) int { return int(l.At.Sub(from) / window) }
-	name := func(n int) string { return "+" + (time.Duration(n) * window).String() }
+	windowIndex := func(l logLine) int { return int(l.At.Sub(from) / window) }
+	windowName := func(n int) string { return "+" + (time.Duration(n) * window).String() }
 	r := lossReport{From: from, Window: window.String()}
-	r.Windows = countBy(lost, func(l logLine) string { return name(number(l)) })
-	for n := range number(lost[len(lost)-1]) {
-		if !slices.ContainsFunc(r.Windows, func(w reportRow) bool { return w.Name == name(n) }) {
-			r.Windows = append(r.Windows, reportRow{Name: name(n), Causes: map[cause]int{}})
+	r.Windows = countBy(lost, func(l logLine) string { return windowName(windowIndex(l)) })
+	for n := range windowIndex(lost[len(lost)-1]) {
+		if !slices.ContainsFunc(r.Windows, func(w reportRow) bool { return w.Name == windowName(n) }) {
+			r.Windows = append(r.Windows, reportRow{Name: windowName(n), Causes: map[cause]int{}})
 		}
 	}
 	slices.SortStableFunc(r.Windows, func(a, b reportRow) int { return cmp.Compare(offset(a), offset(b)) })
 	r.Classes = countBy(lost, func(l logLine) string { return l.Fields["class"] })
 	r.Groups = countBy(lost, func(l logLine) string { return l.Fields["group"] })
-	r.DataCentres = countBy(lost, func(l logLine) string { return cmp.Or(place[l.VM], "not told") })
+	r.DataCentres = countBy(lost, func(l logLine) string { return cmp.Or(dataCentres[l.VM], "not told") })
 	r.VMs = countBy(lost, func(l logLine) string { return l.VM })
 	return r, true
 }
 
+// offset returns the start of a window, relative to the start of the report.
 func offset(r reportRow) time.Duration {
-	d, _ := time.ParseDuration(strings.TrimPrefix(r.Name, "+")) // Written by String above.
+	d, _ := time.ParseDuration(strings.TrimPrefix(r.Name, "+")) // The name was made by Duration.String, which ParseDuration accepts.
 	return d
 }
 
-// countBy counts lines by a name and cause, the greatest counts first.
+// countBy counts lines by name and cause, sorted by descending total.
 func countBy(lines []logLine, name func(logLine) string) []reportRow {
 	rows := map[string]*reportRow{}
 	for _, line := range lines {
@@ -164,10 +167,10 @@
 	return cmp.Or(causeOf[result.Code(code)], causeRefused)
 }
 
-// barWidth is how many characters the bar of the worst window takes.
+// barWidth is the length in characters of the bar of the window with the most lost requests.
 const barWidth = 40
 
-// printReport prints a table for each way to count, the windows with a bar each.
+// printReport prints a table for each grouping; the one of the windows has a bar in each row.
 func (t *tool) printReport(r lossReport) error {
 	printLine(t.out.stdout, "from %s", r.From.Format(time.RFC3339Nano))
 	for _, part := range []struct {
@@ -189,12 +192,12 @@
 	return nil
 }
 
-// reportTable has a column for each cause that occurs.
+// reportTable returns a table with a column for each cause that occurs.
 func reportTable(name string, rows []reportRow, bars bool) table {
-	seen, most := map[cause]bool{}, 1
+	seen, maxTotal := map[cause]bool{}, 1
 	for _, row := range rows {
-		maps.Copy(seen, present(row))
-		most = max(most, row.Total)
+		maps.Copy(seen, causesIn(row))
+		maxTotal = max(maxTotal, row.Total)
 	}
 	shown := slices.DeleteFunc(slices.Clone(causes), func(c cause) bool { return !seen[c] })
 	out := table{header: []string{name}}
@@ -209,14 +212,14 @@
 		}
 		cells = append(cells, strconv.Itoa(row.Total))
 		if bars {
-			cells = append(cells, strings.Repeat("#", row.Total*barWidth/most))
+			cells = append(cells, strings.Repeat("#", row.Total*barWidth/maxTotal))
 		}
 		out.rows = append(out.rows, cells)
 	}
 	return out
 }
 
-func present(row reportRow) map[cause]bool {
+func causesIn(row reportRow) map[cause]bool {
 	found := map[cause]bool{}
 	for c := range row.Causes {
 		found[c] = true
--- a/internal/ctl/report_test.go
+++ b/internal/ctl/report_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("The report of what was lost", func() {
+var _ = Describe("Report of lost requests", func() {
 	const logs = `time=2026-01-01T10:00:00.000Z level=INFO event=started vm=a data_centre=north
 time=2026-01-01T10:00:04.100Z level=INFO event=request_failed vm=a request=q1 class=orders group=g code=1201 result=X
 time=2026-01-01T10:00:09.100Z level=INFO event=request_late vm=b request=q2 class=quotes group=h took=400ms waited=300ms
@@ -26,8 +26,8 @@
 		return r
 	}
 
-	// After an incident an operator wants to know when callers lost what, and why. Windows in
-	// which nothing was lost are shown as well, so that the bars tell the course.
+	// After an incident an operator needs to know when requests of which class were lost, and
+	// why. Windows without a lost request are included, so that the bars show the course of time.
 	It("counts by window, class, data centre and cause", func() {
 		r := report(logs)
 		var windows []string
@@ -43,13 +43,13 @@
 		Expect(r.DataCentres).To(ContainElement(HaveField("Name", "not told")))
 	})
 
-	It("names the cause of each numbered result", func() {
+	It("lists every cause that a result code maps to", func() {
 		for code, c := range causeOf {
 			Expect(causes).To(ContainElement(c), code.Name())
 		}
 	})
 
-	It("draws the windows", func() {
+	It("prints the windows with bars", func() {
 		var out bytes.Buffer
 		t := &tool{out: &output{stdout: &out}}
 		Expect(t.printReport(report(logs))).To(Succeed())
@@ -57,7 +57,7 @@
 		Expect(out.String()).To(ContainSubstring(strings.Repeat("#", barWidth)))
 	})
 
-	It("says so if nothing was lost", func() {
+	It("returns false if nothing was lost", func() {
 		lines, err := parseLog(strings.NewReader("time=2026-01-01T10:00:00.000Z level=INFO event=started vm=a\n"))
 		Expect(err).NotTo(HaveOccurred())
 		_, ok := reportOf(lines, time.Second)
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -16,8 +16,8 @@
 	"github.com/buckthornshore/buckthornshore/rpc/peerpb"
 )
 
-// askedAtOnce bounds the daemons that are asked at the same time.
-const askedAtOnce = 32
+// maxConcurrentCalls limits the number of daemons called at the same time.
+const maxConcurrentCalls = 32
 
 func (o *online) status(ctx context.Context, c *statusCommand) error {
 	d, err := o.daemon()
@@ -26,22 +26,22 @@
 	}
 	switch c.Kind {
 	case status.KindGroups:
-		return show(ctx, o, d, c.Kind, groupTable)
+		return printStatus(ctx, o, d, c.Kind, groupTable)
 	case status.KindTargets:
-		return show(ctx, o, d, c.Kind, targetTable)
+		return printStatus(ctx, o, d, c.Kind, targetTable)
 	case status.KindVMs:
-		return show(ctx, o, d, c.Kind, vmTable)
+		return printStatus(ctx, o, d, c.Kind, vmTable)
 	case status.KindSessions:
-		return show(ctx, o, d, c.Kind, sessionTable)
+		return printStatus(ctx, o, d, c.Kind, sessionTable)
 	case status.KindConfig:
-		return show(ctx, o, d, c.Kind, func(c status.Config) table { return configTable([]configAnswer{{Config: c}}) })
+		return printStatus(ctx, o, d, c.Kind, func(c status.Config) table { return configTable([]configAnswer{{Config: c}}) })
 	}
 	return result.New(result.NotFound, "status %q; there are groups, targets, vms, sessions and config", c.Kind)
 }
 
-func show[T any](ctx context.Context, o *online, d peerpb.Admin, kind string, tableOf func(T) table) error {
+func printStatus[T any](ctx context.Context, o *online, d peerpb.Admin, kind string, tableOf func(T) table) error {
 	var value T
-	if err := ask(ctx, d, kind, &value); err != nil {
+	if err := fetchStatus(ctx, d, kind, &value); err != nil {
 		return err
 	}
 	return o.out.answer(value, tableOf(value))
@@ -59,8 +59,8 @@
 			promoters = append(promoters, string(p.VM)+":"+string(p.Replica)+mark)
 		}
 		t.rows = append(t.rows, []string{
-			string(g.Group), number(g.Term), number(g.Version), dash(string(g.Primary)),
-			dash(string(g.Pooler)), dash(strings.Join(promoters, ",")),
+			string(g.Group), formatNumber(g.Term), formatNumber(g.Version), orDash(string(g.Primary)),
+			orDash(string(g.Pooler)), orDash(strings.Join(promoters, ",")),
 		})
 	}
 	return t
@@ -72,7 +72,7 @@
 		role := map[bool]string{true: "primary", false: "replica"}[x.Primary]
 		t.rows = append(t.rows, []string{
 			string(x.Target), string(x.Group), string(x.DataCentre), x.Address, role,
-			dash(map[bool]string{true: "yes"}[x.Leaving]), dash(string(x.Pooler)),
+			orDash(map[bool]string{true: "yes"}[x.Leaving]), orDash(string(x.Pooler)),
 		})
 	}
 	return t
@@ -93,7 +93,8 @@
 	}
 }
 
-// configAnswer is what one daemon has in force, or why it did not say.
+// configAnswer is the configuration that one daemon has in force, or the error of
+// reading it.
 type configAnswer struct {
 	status.Config
 	Error string `json:"error,omitempty"`
@@ -103,34 +104,36 @@
 	t := table{header: []string{"VM", "CONFIG", "PRESET", "SWITCH", "SINCE", "PLATFORM AGE"}}
 	for _, a := range answers {
 		if a.Error != "" {
-			t.rows = append(t.rows, []string{string(a.VM), dash(""), dash(""), dash(""), dash(""), a.Error})
+			t.rows = append(t.rows, []string{string(a.VM), orDash(""), orDash(""), orDash(""), orDash(""), a.Error})
 			continue
 		}
 		t.rows = append(t.rows, []string{
-			string(a.VM), number(a.Config.Config), dash(a.Preset), number(a.PresetVersion),
-			stamp(a.Since), a.PlatformAge.Std().String(),
+			string(a.VM), formatNumber(a.Config.Config), orDash(a.Preset), formatNumber(a.PresetVersion),
+			formatTime(a.Since), a.PlatformAge.Std().String(),
 		})
 	}
 	return t
 }
 
-// configStatus asks every VM that the named daemon knows and does not hold dead.
+// configStatus prints the configuration that each daemon has in force. It calls every
+// VM in the membership list of the daemon that the settings name, except VMs listed as
+// dead.
 func (o *online) configStatus(ctx context.Context) error {
 	d, err := o.daemon()
 	if err != nil {
 		return err
 	}
 	var vms []status.VM
-	if err := ask(ctx, d, status.KindVMs, &vms); err != nil {
+	if err := fetchStatus(ctx, d, status.KindVMs, &vms); err != nil {
 		return err
 	}
-	answers := o.askAll(ctx, vms)
+	answers := o.fetchConfigs(ctx, vms)
 	return o.out.answer(answers, configTable(answers))
 }
 
-func (o *online) askAll(ctx context.Context, vms []status.VM) []configAnswer {
+func (o *online) fetchConfigs(ctx context.Context, vms []status.VM) []configAnswer {
 	answers := make([]configAnswer, len(vms))
-	places := make(chan struct{}, askedAtOnce)
+	semaphore := make(chan struct{}, maxConcurrentCalls)
 	var wait sync.WaitGroup
 	for i, vm := range vms {
 		if vm.State == membership.Dead.String() {
@@ -138,26 +141,26 @@
 			continue
 		}
 		wait.Add(1)
-		places <- struct{}{}
+		semaphore <- struct{}{}
 		go func() {
 			defer wait.Done()
-			defer func() { <-places }()
-			answers[i] = o.askConfig(ctx, vm)
+			defer func() { <-semaphore }()
+			answers[i] = o.fetchConfig(ctx, vm)
 		}()
 	}
 	wait.Wait()
 	return answers
 }
 
-func (o *online) askConfig(ctx context.Context, vm status.VM) configAnswer {
+func (o *online) fetchConfig(ctx context.Context, vm status.VM) configAnswer {
 	answer := configAnswer{}
-	if err := ask(ctx, o.daemonAt(vm.PeerAddress), status.KindConfig, &answer.Config); err != nil {
+	if err := fetchStatus(ctx, o.daemonAt(vm.PeerAddress), status.KindConfig, &answer.Config); err != nil {
 		return configAnswer{Config: status.Config{VM: vm.VM}, Error: err.Error()}
 	}
 	return answer
 }
 
-// explain shows where the named daemon would send a request, and why.
+// explain prints where the daemon that the settings name would send a request, and why.
 func (o *online) explain(ctx context.Context, c *explainCommand) error {
 	d, err := o.daemon()
 	if err != nil {
@@ -172,12 +175,12 @@
 		req.Floor = peers.PositionTo(floor)
 	}
 	resp, err := d.Explain(ctx, req)
-	var why routing.Explanation
-	if err := decodeStatus(resp, err, &why); err != nil {
+	var explanation routing.Explanation
+	if err := decodeStatus(resp, err, &explanation); err != nil {
 		return err
 	}
 	if o.out.json {
 		return o.out.writeJSON(json.RawMessage(resp.Json))
 	}
-	return o.out.line(nil, "%s", why.String())
+	return o.out.line(nil, "%s", explanation.String())
 }
--- a/internal/ctl/trace.go
+++ b/internal/ctl/trace.go
@@ -16,11 +16,12 @@
 )
 
 const (
-	// traceBefore and traceAfter are how much of the logs around a request's line may explain
-	// it: a right lapses within a second, and a primary is replaced within four.
+	// traceBefore and traceAfter bound the time around a request's log line in which other
+	// lines may explain it: a right lapses within one second, and a primary is replaced within
+	// four.
 	traceBefore = 4 * time.Second
 	traceAfter  = time.Second
-	// longestLogLine is more than any line of a daemon takes.
+	// longestLogLine is a limit in bytes that no log line of a daemon reaches.
 	longestLogLine = 1 << 20
 )
 
@@ -33,8 +34,8 @@
 	text   string
 }
 
-// Events by what they are of. A request is explained by those of its own VM, of its VM and
-// target, and of its group wherever they were logged.
+// Log events by what they concern. A request is explained by vmEvents of its VM, by
+// targetEvents of its VM and target, and by groupEvents of its group, logged by any VM.
 var (
 	vmEvents = []string{
 		"cut_off", "cut_off_ended", "sessions_shed", "store_lost", "store_regained", "right_not_read", "stopping", "started",
@@ -47,20 +48,21 @@
 	}
 )
 
-// trace prints what the logs of several daemons tell of one request.
+// trace prints the log lines of one request, and those that may explain its outcome, from the
+// logs of several daemons.
 func (t *tool) trace(c *traceCommand) error {
 	lines, err := readLogs(c.Files)
 	if err != nil {
 		return err
 	}
-	story := storyOf(c.Request, lines)
-	if len(story) == 0 {
+	found := traceOf(c.Request, lines)
+	if len(found) == 0 {
 		return result.New(result.NotFound, "no line of request %q: it was answered in time, or its VM's log is missing", c.Request)
 	}
 	if t.out.json {
-		return t.out.writeJSON(story)
+		return t.out.writeJSON(found)
 	}
-	for _, line := range story {
+	for _, line := range found {
 		printLine(t.out.stdout, "%s", line.text)
 	}
 	return nil
@@ -86,7 +88,7 @@
 	return parseLog(bytes.NewReader(raw))
 }
 
-// parseLog reads the lines that name an event. Others, such as a panic's stack, are passed over.
+// parseLog returns the lines that name an event. It skips others, such as the stack of a panic.
 func parseLog(r io.Reader) ([]logLine, error) {
 	var lines []logLine
 	in := bufio.NewScanner(r)
@@ -99,7 +101,7 @@
 	return lines, in.Err()
 }
 
-// parseLine reads one line. What a collector has put before it is passed over.
+// parseLine parses one line. It ignores a prefix that a log collector has added.
 func parseLine(text string) (logLine, bool) {
 	begin := strings.Index(text, "time=")
 	if begin < 0 {
@@ -123,41 +125,42 @@
 	return line, line.Event != ""
 }
 
-// storyOf returns the lines of a request with those that may explain them, in the order of time.
-// One of a kind at a VM is enough: a target that is away is logged many times a second.
-func storyOf(request string, lines []logLine) []logLine {
-	var story []logLine
+// traceOf returns the lines of a request and those that may explain them, in the order of time.
+// It keeps only the first line of a VM with the same event, target and group, because an
+// unreachable target is logged many times a second.
+func traceOf(request string, lines []logLine) []logLine {
+	var found []logLine
 	seen := map[string]bool{}
 	slices.SortStableFunc(lines, func(a, b logLine) int { return a.At.Compare(b.At) })
-	for _, own := range lines {
-		if own.Fields["request"] != request {
+	for _, requestLine := range lines {
+		if requestLine.Fields["request"] != request {
 			continue
 		}
 		for _, line := range lines {
 			kind := strings.Join([]string{line.VM, line.Event, line.Fields["target"], line.Fields["group"]}, " ")
-			if explains(line, own) && !seen[kind] {
+			if explains(line, requestLine) && !seen[kind] {
 				seen[kind] = true
-				story = append(story, line)
+				found = append(found, line)
 			}
 		}
-		story = append(story, own)
+		found = append(found, requestLine)
 	}
-	slices.SortStableFunc(story, func(a, b logLine) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.VM, b.VM)) })
-	return story
+	slices.SortStableFunc(found, func(a, b logLine) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.VM, b.VM)) })
+	return found
 }
 
-// explains reports whether a line may explain the line of a request.
-func explains(line, own logLine) bool {
-	after := line.At.Sub(own.At)
+// explains reports whether line may explain requestLine, a line about a request.
+func explains(line, requestLine logLine) bool {
+	after := line.At.Sub(requestLine.At)
 	if after < -traceBefore || after > traceAfter || line.Fields["request"] != "" {
 		return false
 	}
-	sameVM, sameGroup := line.VM == own.VM, line.Fields["group"] == own.Fields["group"]
+	sameVM, sameGroup := line.VM == requestLine.VM, line.Fields["group"] == requestLine.Fields["group"]
 	switch {
 	case slices.Contains(vmEvents, line.Event):
 		return sameVM
 	case slices.Contains(targetEvents, line.Event):
-		return sameVM && (own.Fields["target"] == "" || line.Fields["target"] == own.Fields["target"])
+		return sameVM && (requestLine.Fields["target"] == "" || line.Fields["target"] == requestLine.Fields["target"])
 	case slices.Contains(groupEvents, line.Event):
 		return sameGroup
 	}
--- a/internal/ctl/trace_test.go
+++ b/internal/ctl/trace_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("A request's story", func() {
+var _ = Describe("Trace of a request", func() {
 	const logs = `collector-7 time=2026-01-01T10:00:05.900Z level=INFO event=request_failed vm=a request=q1 group=g target=t1 result=NoRight
 time=2026-01-01T10:00:05.100Z level=INFO event=dial_failed vm=a target=t1 error="dial tcp: i/o timeout"
 time=2026-01-01T10:00:05.200Z level=INFO event=dial_failed vm=a target=t1 error="dial tcp: i/o timeout"
@@ -20,21 +20,21 @@
 time=2026-01-01T10:00:05.700Z level=INFO event=request_late vm=a request=q2 group=g
 `
 
-	// An engineer has the id of one request and the logs of three VMs. Of the hundreds of lines
-	// around it those of its VM, target and group remain, one of each kind, in order.
-	It("holds what may explain it, and no more", func() {
+	// From the logs of three VMs, the trace of a request holds only the lines of its VM, target
+	// and group, one of each kind, in the order of time.
+	It("holds only the lines that may explain it", func() {
 		lines, err := parseLog(strings.NewReader(logs))
 		Expect(err).NotTo(HaveOccurred())
-		var told []string
-		for _, line := range storyOf("q1", lines) {
-			told = append(told, line.VM+" "+line.Event+" "+line.Fields["target"])
+		var got []string
+		for _, line := range traceOf("q1", lines) {
+			got = append(got, line.VM+" "+line.Event+" "+line.Fields["target"])
 		}
-		Expect(told).To(Equal([]string{"a dial_failed t1", "c rights_ended ", "a request_failed t1"}))
+		Expect(got).To(Equal([]string{"a dial_failed t1", "c rights_ended ", "a request_failed t1"}))
 	})
 
-	It("is empty of a request that no line names", func() {
+	It("is empty if no line names the request", func() {
 		lines, err := parseLog(strings.NewReader(logs))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(storyOf("q3", lines)).To(BeEmpty())
+		Expect(traceOf("q3", lines)).To(BeEmpty())
 	})
 })
