--- a/internal/capacity/deployment.go
+++ b/internal/capacity/deployment.go
@@ -23,24 +23,24 @@
 )
 
 const (
-	// readyTimeout bounds the start of a deployment.
+	// readyTimeout is the timeout of each wait during the start of a deployment.
 	readyTimeout = 40 * time.Second
-	pollPause    = 200 * time.Millisecond
-	// platformTimeout of the daemons' calls.
+	pollInterval = 200 * time.Millisecond
+	// platformTimeout is the timeout of the daemons' calls to the platform.
 	platformTimeout = 2 * time.Second
 )
 
-// Programs are the paths of what a deployment runs.
+// Programs holds the directories that a deployment uses.
 type Programs struct {
-	// Dir holds bts-proxy, bts-platform and bts-measure.
+	// Dir is the directory of bts-proxy, bts-platform and bts-measure.
 	Dir string
-	// Work takes settings and logs.
+	// Work is the directory that settings files and logs are written to.
 	Work string
 }
 
 func (p Programs) path(name string) string { return filepath.Join(p.Dir, name) }
 
-// deployment is a platform, one process of databases and the daemons.
+// deployment is a platform, one process that hosts all databases, and the daemons.
 type deployment struct {
 	programs  Programs
 	shape     Shape
@@ -48,17 +48,17 @@
 	databases *process
 	platform  *process
 	standIn   platformpb.StandIn
-	table     *platform.Remote
+	client    *platform.Remote
 }
 
-// newDeployment starts the platform alone.
+// newDeployment starts only the platform of a deployment and waits until it answers.
 func newDeployment(p Programs, s Shape) (*deployment, error) {
 	url := "http://" + address(0)
 	d := &deployment{
 		programs: p,
 		shape:    s,
 		standIn:  platformpb.NewStandInProtobufClient(url, http.DefaultClient),
-		table:    platform.NewRemote(url, "measure", http.DefaultClient),
+		client:   platform.NewRemote(url, "measure", http.DefaultClient),
 	}
 	var err error
 	d.platform, err = start(p.Work, "platform", p.path("bts-platform"), "--listen", address(0), "--log-level", "warn")
@@ -66,24 +66,24 @@
 		return nil, err
 	}
 	err = await("the platform", func() error {
-		_, _, err := d.table.Scan(context.Background(), "", 0)
+		_, _, err := d.client.Scan(context.Background(), "", 0)
 		return err
 	})
 	if err != nil {
-		d.end()
+		d.stop()
 		return nil, err
 	}
 	return d, nil
 }
 
-// deploy starts everything of a shape and waits until the groups are settled.
+// deploy starts all processes of a shape and waits until its groups are settled.
 func deploy(p Programs, s Shape) (*deployment, error) {
 	d, err := newDeployment(p, s)
 	if err != nil {
 		return nil, err
 	}
 	if err = d.startAll(); err != nil {
-		d.end()
+		d.stop()
 		return nil, err
 	}
 	return d, nil
@@ -150,10 +150,11 @@
 	return nil
 }
 
-// settled tells which group has no row yet, or a replica that is not synced. Without
-// this a deployment whose databases could not start would be measured.
+// settled returns an error if a group has no row, too few promoters, a promoter whose
+// replica is not synced, or an unsettled list. Without this check a deployment whose
+// databases could not start would be measured.
 func (d *deployment) settled() error {
-	rows, _, err := d.table.Scan(context.Background(), "group/", 0)
+	rows, _, err := d.client.Scan(context.Background(), "group/", 0)
 	if err != nil || len(rows) < d.shape.Groups {
 		return errors.Newf("%d rows, %v", len(rows), err)
 	}
@@ -170,7 +171,7 @@
 	return nil
 }
 
-func (d *deployment) end() {
+func (d *deployment) stop() {
 	for _, p := range append(d.daemons, d.databases, d.platform) {
 		if p != nil {
 			p.kill()
@@ -178,9 +179,9 @@
 	}
 }
 
-// await polls until f has no error.
+// await calls f until it returns no error, for at most readyTimeout.
 func await(what string, f func() error) (err error) {
-	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(pollPause) {
+	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		if err = f(); err == nil {
 			return nil
 		}
@@ -188,7 +189,8 @@
 	return errors.Wrapf(err, "%s: not ready after %v", what, readyTimeout)
 }
 
-// ready asks a daemon; its answer tells what it still lacks.
+// ready returns an error if a daemon is not ready; its text is the daemon's response,
+// which gives the reason.
 func ready(admin string) error {
 	resp, err := http.Get("http://" + admin + metrics.PathReady)
 	if err != nil {
@@ -198,12 +200,12 @@
 	if resp.StatusCode == http.StatusOK {
 		return nil
 	}
-	why, err := io.ReadAll(resp.Body)
-	return errors.Newf("%s %v", why, err)
+	reason, err := io.ReadAll(resp.Body)
+	return errors.Newf("%s %v", reason, err)
 }
 
-// snapshot reads a daemon's metrics.
-func snapshot(admin string) (s metrics.Snapshot, err error) {
+// readMetrics reads a daemon's metrics.
+func readMetrics(admin string) (s metrics.Snapshot, err error) {
 	resp, err := http.Get("http://" + admin + metrics.PathJSON)
 	if err != nil {
 		return s, err
--- a/internal/capacity/document.go
+++ b/internal/capacity/document.go
@@ -8,7 +8,7 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// The planned size.
+// The size of the planned production deployment.
 const (
 	PlannedDaemons     = 3900
 	PlannedGroups      = 4667
@@ -16,10 +16,10 @@
 	PlannedDataCentres = 24
 
 	replicasAndPrimary = 3
-	dataCentres        = 3 // of a small deployment
+	dataCentres        = 3 // in a small deployment
 )
 
-// Names of the generated document, and of the classes that are measured.
+// Names in the generated configuration, among them the measured classes.
 const (
 	memberName  = "m"
 	serviceName = "s"
@@ -28,13 +28,13 @@
 	region      = "r"
 )
 
-// manySessions keeps the limits out of the way of the measurement.
-const manySessions = 100000
+// highLimit is a limit of sessions and requests that no measurement reaches.
+const highLimit = 100000
 
-// firstPort of the addresses, below the range of outgoing connections.
+// firstPort is the lowest port used; the ports are below the range of outgoing connections.
 const firstPort = 21000
 
-// closedAddress is one that nothing listens at, on loopback as all others.
+// closedAddress returns a loopback address that nothing listens on.
 func closedAddress(target int) string {
 	return fmt.Sprintf("127.1.%d.%d:1", target/250, target%250+1)
 }
@@ -42,7 +42,8 @@
 // Shape is the size of a small deployment.
 type Shape struct{ Daemons, Groups int }
 
-// ports of a shape: the platform's, then three for each daemon, then the targets'.
+// The ports from firstPort up: one for the platform, three for each daemon, then one for
+// each target.
 func (s Shape) callerAddress(daemon int) string { return address(1 + 3*daemon) }
 func (s Shape) peerAddress(daemon int) string   { return address(2 + 3*daemon) }
 func (s Shape) adminAddress(daemon int) string  { return address(3 + 3*daemon) }
@@ -53,7 +54,7 @@
 // Document returns the configuration of a small deployment: each group has
 // a target in each of three data centres.
 func Document(s Shape) *config.Document {
-	doc := frame(dataCentres)
+	doc := baseDocument(dataCentres)
 	for i := range s.Groups {
 		doc.Groups = append(doc.Groups, group(i, dataCentres, func(target int) string { return s.targetAddress(target) }))
 	}
@@ -61,9 +62,10 @@
 }
 
 // PlannedDocument returns the configuration of the planned size. The last data
-// centre has no targets, so that one real daemon there meets only real VMs.
+// centre has no targets, so that a real daemon can run there without simulated VMs
+// in its data centre.
 func PlannedDocument() *config.Document {
-	doc := frame(PlannedDataCentres)
+	doc := baseDocument(PlannedDataCentres)
 	for i := range PlannedGroups {
 		doc.Groups = append(doc.Groups, group(i, PlannedDataCentres-1, closedAddress))
 	}
@@ -87,10 +89,10 @@
 
 func dataCentre(n int) topology.DataCentre { return topology.DataCentre(fmt.Sprintf("dc-%02d", n)) }
 
-// frame is a document with everything but groups.
-func frame(centres int) *config.Document {
+// baseDocument returns a configuration without groups.
+func baseDocument(centres int) *config.Document {
 	doc := &config.Document{
-		Members:  []config.Member{{Name: memberName, Weight: 1, MaxSessions: manySessions, MaxRequests: manySessions}},
+		Members:  []config.Member{{Name: memberName, Weight: 1, MaxSessions: highLimit, MaxRequests: highLimit}},
 		Services: []config.Service{{Member: memberName, Name: serviceName}},
 		Classes: []config.Class{
 			class(readClass, config.Read, config.Duration(5*time.Second)),
@@ -99,7 +101,7 @@
 		Presets:     []config.Preset{{Name: config.OrdinaryPreset}},
 		RetryBudget: config.RetryBudget{Percent: 10, Burst: 50},
 		Limits: config.Limits{
-			SessionsPerDaemon: manySessions, MessageBytes: 1 << 20, ResultBytes: 8 << 20,
+			SessionsPerDaemon: highLimit, MessageBytes: 1 << 20, ResultBytes: 8 << 20,
 			IdleInTransactionTimeout: config.DefaultIdleInTransactionTimeout, DrainTime: config.DefaultDrainTime,
 		},
 	}
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -5,14 +5,14 @@
 // Point is one measured value at one size.
 type Point struct{ Size, Value float64 }
 
-// Line is Value = Base + Slope * Size.
+// Line is the line Value = Base + Slope * Size.
 type Line struct{ Base, Slope float64 }
 
 // At returns the line's value at a size.
 func (l Line) At(size float64) float64 { return l.Base + l.Slope*size }
 
-// Fit returns the least-squares line; a flat one through the mean when all sizes
-// are the same, and zero without points.
+// Fit returns the least-squares line through points: a flat line through the mean if
+// all sizes are equal, and the zero Line if there are no points.
 func Fit(points []Point) Line {
 	n := float64(len(points))
 	if n == 0 {
@@ -38,7 +38,8 @@
 // Spread is the median and the extremes of repeated measurements.
 type Spread struct{ Median, Least, Greatest float64 }
 
-// SpreadOf returns the spread of values; the upper median of an even number.
+// SpreadOf returns the spread of values. With an even number of values, the median is
+// the upper of the two in the middle.
 func SpreadOf(values []float64) Spread {
 	if len(values) == 0 {
 		return Spread{}
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -23,27 +23,27 @@
 		Expect(line.At(100)).To(BeNumerically("~", 203, 1e-9))
 	})
 
-	It("minimises the squared errors of points that do not", func() {
+	It("minimises the squared errors of points that are not on one line", func() {
 		line := capacity.Fit([]capacity.Point{{Size: 0, Value: 0}, {Size: 1, Value: 3}, {Size: 2, Value: 3}})
 		Expect(line.Slope).To(BeNumerically("~", 1.5, 1e-9))
 		Expect(line.Base).To(BeNumerically("~", 0.5, 1e-9))
 	})
 
-	It("is flat when only one size was measured", func() {
+	It("is flat with points of only one size", func() {
 		Expect(capacity.Fit([]capacity.Point{{Size: 4, Value: 1}, {Size: 4, Value: 3}})).To(Equal(capacity.Line{Base: 2}))
 		Expect(capacity.Fit(nil)).To(Equal(capacity.Line{}))
 	})
 })
 
 var _ = Describe("SpreadOf", func() {
-	It("gives the median between the extremes", func() {
+	It("returns the median and the extremes", func() {
 		Expect(capacity.SpreadOf([]float64{9, 1, 5})).To(Equal(capacity.Spread{Median: 5, Least: 1, Greatest: 9}))
 		Expect(capacity.SpreadOf(nil)).To(Equal(capacity.Spread{}))
 	})
 })
 
 var _ = Describe("Document", func() {
-	It("passes the checks of the configuration at every measured size", func() {
+	It("is a valid configuration at every measured size", func() {
 		for _, shape := range []capacity.Shape{{Daemons: 3, Groups: 1}, {Daemons: 6, Groups: 180}} {
 			raw, err := config.Canonical(capacity.Document(shape))
 			Expect(err).NotTo(HaveOccurred())
@@ -53,7 +53,7 @@
 		}
 	})
 
-	It("holds the planned size in all data centres but the last", func() {
+	It("has the planned number of targets, with none in the last data centre", func() {
 		raw, err := config.Canonical(capacity.PlannedDocument())
 		Expect(err).NotTo(HaveOccurred())
 		doc, problems := config.Parse("generated", raw)
--- a/internal/capacity/host.go
+++ b/internal/capacity/host.go
@@ -9,8 +9,8 @@
 	"github.com/buckthornshore/buckthornshore/pkg/config"
 )
 
-// HostDatabases runs a stand-in for each target of a document in this process;
-// their statements take no time of their own.
+// HostDatabases runs a stand-in database for each target of a configuration in this
+// process, without a simulated statement time.
 func HostDatabases(doc *config.Document, log *slog.Logger) error {
 	for _, g := range doc.Groups {
 		for _, t := range g.Targets {
--- a/internal/capacity/planned.go
+++ b/internal/capacity/planned.go
@@ -14,23 +14,23 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// rowsPerCommit keeps the platform's requests small.
+// rowsPerCommit limits the size of the requests to the platform.
 const rowsPerCommit = 200
 
-// MeasurePlanned runs one daemon that knows the whole planned size: 14,001
-// targets, their groups' rows and 3,900 VMs. It is the relay of a data centre
-// without targets, so it holds and promotes nothing, and the other VMs are
-// rows with one address that knows no method.
+// MeasurePlanned measures one idle daemon in a deployment of the planned size: 14,001
+// targets, the rows of their groups and 3,900 VMs. The daemon is the relay of a data
+// centre without targets, so it pools no target and promotes none. The other VMs exist
+// only as rows; they share one address, which answers every request with 404.
 func MeasurePlanned(p Programs, window time.Duration) (Rest, error) {
 	d, err := newDeployment(p, Shape{Daemons: 1})
 	if err != nil {
 		return Rest{}, err
 	}
-	defer d.end()
-	other := &http.Server{Addr: d.shape.targetAddress(0), Handler: http.NotFoundHandler(), ReadHeaderTimeout: callTimeout}
-	go func() { _ = other.ListenAndServe() }()
-	defer func() { _ = other.Close() }()
-	if err := d.plan(); err != nil {
+	defer d.stop()
+	otherVMs := &http.Server{Addr: d.shape.targetAddress(0), Handler: http.NotFoundHandler(), ReadHeaderTimeout: callTimeout}
+	go func() { _ = otherVMs.ListenAndServe() }()
+	defer func() { _ = otherVMs.Close() }()
+	if err := d.writePlanned(); err != nil {
 		return Rest{}, err
 	}
 	if err := d.startDaemon(0, dataCentre(PlannedDataCentres-1)); err != nil {
@@ -41,11 +41,12 @@
 		return Rest{}, err
 	}
 	time.Sleep(settleTime)
-	return d.rest(window)
+	return d.measureIdle(window)
 }
 
-// plan fills the platform and writes the document.
-func (d *deployment) plan() error {
+// writePlanned writes the configuration of the planned size, and its VM and group rows
+// to the platform.
+func (d *deployment) writePlanned() error {
 	doc := PlannedDocument()
 	if err := d.writeDocument(doc); err != nil {
 		return err
@@ -91,10 +92,10 @@
 	return rows, nil
 }
 
-// commit writes rows to the platform, some at a time.
+// commit writes rows to the platform in chunks of rowsPerCommit.
 func (d *deployment) commit(rows []platform.Write) error {
-	for some := range slices.Chunk(rows, rowsPerCommit) {
-		if _, err := d.table.Commit(context.Background(), platform.Txn{Writes: some}); err != nil {
+	for chunk := range slices.Chunk(rows, rowsPerCommit) {
+		if _, err := d.client.Commit(context.Background(), platform.Txn{Writes: chunk}); err != nil {
 			return err
 		}
 	}
--- a/internal/capacity/process.go
+++ b/internal/capacity/process.go
@@ -12,16 +12,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// clockTick of /proc/<pid>/stat: 100 a second on every Linux that Go runs on.
+// clockTick is the unit of processor time in /proc/<pid>/stat: 1/100 s on every Linux
+// that Go runs on.
 const clockTick = 10 * time.Millisecond
 
-// Fields of /proc/<pid>/stat after the command's closing parenthesis.
+// Indexes of the fields of /proc/<pid>/stat that follow the command's closing
+// parenthesis.
 const (
 	fieldUser   = 11
 	fieldSystem = 12
 )
 
-// process is one that this program started; only these are ever ended.
+// process is a child process of this program; no other processes are killed.
 type process struct{ cmd *exec.Cmd }
 
 func start(dir, name, program string, args ...string) (*process, error) {
@@ -41,7 +43,7 @@
 
 func (p *process) kill() {
 	_ = p.cmd.Process.Signal(syscall.SIGKILL)
-	_ = p.cmd.Wait() // Its exit status is the signal.
+	_ = p.cmd.Wait() // The error only reports the signal.
 }
 
 // cpu returns the processor time used so far.
@@ -53,7 +55,7 @@
 	_, rest, _ := strings.Cut(string(raw), ") ")
 	fields := strings.Fields(rest)
 	if len(fields) <= fieldSystem {
-		return 0, errors.Newf("unexpected %q", raw)
+		return 0, errors.Newf("too few fields in %q", raw)
 	}
 	user, err := strconv.Atoi(fields[fieldUser])
 	if err != nil {
@@ -75,7 +77,7 @@
 			return float64(kib) * 1024, err
 		}
 	}
-	return 0, errors.New("no VmRSS")
+	return 0, errors.New("no VmRSS line in the process status")
 }
 
 func (p *process) proc(file string) string {
--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -9,17 +9,17 @@
 	"github.com/buckthornshore/buckthornshore/pkg/config"
 )
 
-// Plan says what is measured and how often.
+// Plan holds the sizes, durations and repeats of the measurements.
 type Plan struct {
 	Repeats int
 	Window  time.Duration
-	// GroupsPerDaemon and Daemons are the sizes of the two sweeps at rest.
+	// GroupsPerDaemon and Daemons are the sizes of the two sweeps over idle deployments.
 	GroupsPerDaemon, Daemons []int
-	// Sessions are the numbers of idle sessions, rising.
+	// Sessions are the numbers of idle sessions, in ascending order.
 	Sessions []int
 }
 
-// DefaultPlan is what docs/CAPACITY.md quotes.
+// DefaultPlan returns the plan of the measurements in docs/CAPACITY.md.
 func DefaultPlan() Plan {
 	return Plan{
 		Repeats:         3,
@@ -30,7 +30,8 @@
 	}
 }
 
-// QuickPlan tries everything out at small sizes; its figures mean little.
+// QuickPlan returns a plan that tries the tool out at small sizes; its figures are not
+// representative.
 func QuickPlan() Plan {
 	return Plan{
 		Repeats:         1,
@@ -41,16 +42,16 @@
 	}
 }
 
-// daemonsOfGroupSweep host each number of groups.
+// daemonsOfGroupSweep is the number of daemons in the sweep over groups.
 const daemonsOfGroupSweep = 6
 
-// column is one figure of a Rest.
-type column struct {
-	name string
-	of   func(Rest) float64
+// figure is a value of a Rest that the tables show, with its name there.
+type figure struct {
+	name  string
+	value func(Rest) float64
 }
 
-var columns = []column{
+var figures = []figure{
 	{"core, %", func(r Rest) float64 { return r.Core * 100 }},
 	{"memory, MB", func(r Rest) float64 { return r.RSS / 1e6 }},
 	{"peers, B/s", func(r Rest) float64 { return r.Traffic[metrics.ServicePeers] }},
@@ -60,20 +61,21 @@
 	{"platform writes/s of all", func(r Rest) float64 { return r.Writes }},
 }
 
-// point is a Rest at a size.
-type point struct {
+// measurement is a Rest measured at a size.
+type measurement struct {
 	size float64
-	rest Rest
+	idle Rest
 }
 
-// ReportGroups measures rest against the groups a daemon.
+// ReportGroups measures idle daemons with each number of groups per daemon.
 func ReportGroups(out io.Writer, p Programs, plan Plan) error {
 	return sweep(out, p, plan, "groups a daemon (6 daemons)", plan.GroupsPerDaemon, func(n int) Shape {
 		return Shape{Daemons: daemonsOfGroupSweep, Groups: n * daemonsOfGroupSweep}
 	})
 }
 
-// ReportDaemons measures rest against the daemons, each with one group.
+// ReportDaemons measures idle deployments of each number of daemons, with one group per
+// daemon.
 func ReportDaemons(out io.Writer, p Programs, plan Plan) error {
 	return sweep(out, p, plan, "daemons (1 group a daemon)", plan.Daemons, func(n int) Shape {
 		return Shape{Daemons: n, Groups: n}
@@ -81,14 +83,14 @@
 }
 
 func sweep(out io.Writer, p Programs, plan Plan, what string, sizes []int, shape func(int) Shape) error {
-	var points []point
+	var points []measurement
 	for range plan.Repeats {
 		for _, n := range sizes {
 			r, err := MeasureRest(p, shape(n), plan.Window)
 			if err != nil {
 				return err
 			}
-			points = append(points, point{float64(n), r})
+			points = append(points, measurement{float64(n), r})
 		}
 	}
 	fmt.Fprintf(out, "\nat rest against %s, a daemon; median (least to greatest) of %d\n\n", what, plan.Repeats)
@@ -101,19 +103,19 @@
 		fmt.Fprint(out, "---|")
 	}
 	fmt.Fprintln(out)
-	for _, c := range columns {
-		writeRow(out, c, sizes, points)
+	for _, f := range figures {
+		writeRow(out, f, sizes, points)
 	}
 	return nil
 }
 
-func writeRow(out io.Writer, c column, sizes []int, points []point) {
-	fmt.Fprintf(out, "| %s |", c.name)
+func writeRow(out io.Writer, f figure, sizes []int, points []measurement) {
+	fmt.Fprintf(out, "| %s |", f.name)
 	for _, n := range sizes {
 		var values []float64
 		for _, p := range points {
 			if p.size == float64(n) {
-				values = append(values, c.of(p.rest))
+				values = append(values, f.value(p.idle))
 			}
 		}
 		s := SpreadOf(values)
@@ -121,30 +123,30 @@
 	}
 	var fitted []Point
 	for _, p := range points {
-		fitted = append(fitted, Point{p.size, c.of(p.rest)})
+		fitted = append(fitted, Point{p.size, f.value(p.idle)})
 	}
 	line := Fit(fitted)
 	fmt.Fprintf(out, " %.4g | %.4g |\n", line.Base, line.Slope)
 }
 
-// ReportPlanned measures one daemon that knows the planned size.
+// ReportPlanned measures one idle daemon in a deployment of the planned size.
 func ReportPlanned(out io.Writer, p Programs, plan Plan) error {
-	var rests []Rest
+	var results []Rest
 	for range plan.Repeats {
 		r, err := MeasurePlanned(p, plan.Window)
 		if err != nil {
 			return err
 		}
-		rests = append(rests, r)
+		results = append(results, r)
 	}
 	fmt.Fprintf(out, "\none daemon that knows 14,001 targets, 4,667 rows and 3,900 VMs; median (least to greatest) of %d\n\n| | |\n|---|---|\n", plan.Repeats)
-	for _, c := range columns {
+	for _, f := range figures {
 		var values []float64
-		for _, r := range rests {
-			values = append(values, c.of(r))
+		for _, r := range results {
+			values = append(values, f.value(r))
 		}
 		s := SpreadOf(values)
-		fmt.Fprintf(out, "| %s | %.4g (%.4g to %.4g) |\n", c.name, s.Median, s.Least, s.Greatest)
+		fmt.Fprintf(out, "| %s | %.4g (%.4g to %.4g) |\n", f.name, s.Median, s.Least, s.Greatest)
 	}
 	return nil
 }
@@ -167,7 +169,8 @@
 	return nil
 }
 
-// ReportStatements measures what reads and writes cost.
+// ReportStatements measures the processor time and the added latency of reads and
+// writes.
 func ReportStatements(out io.Writer, p Programs, plan Plan) error {
 	for _, kind := range []config.Kind{config.Read, config.Write} {
 		runs, err := MeasureStatements(p, kind, plan.Repeats+2, plan.Window/2)
--- a/internal/capacity/rest.go
+++ b/internal/capacity/rest.go
@@ -8,34 +8,36 @@
 	"github.com/buckthornshore/buckthornshore/rpc/platformpb"
 )
 
-// settleTime passes between a deployment's start and its measurement: start-up
-// costs more than rest.
+// settleTime passes between a deployment's start and its measurement, because a daemon
+// uses more resources while starting than when idle.
 const settleTime = 5 * time.Second
 
-// Rest is what one daemon costs at rest, the mean over a deployment's daemons.
+// Rest is the resource use of one idle daemon, as the mean over the daemons of a
+// deployment.
 type Rest struct {
-	// Core is the share of one core, 1 being all of it.
+	// Core is the processor time used, as a fraction of one core.
 	Core float64
-	// RSS in bytes.
+	// RSS is the resident memory in bytes.
 	RSS float64
-	// Traffic in bytes a second by service, sent and received.
+	// Traffic is the sum of bytes sent and received per second, by service.
 	Traffic map[string]float64
-	// Reads and Writes of the platform a second, for the whole deployment.
+	// Reads and Writes are the platform's reads and writes per second for the whole
+	// deployment.
 	Reads, Writes float64
 }
 
-// MeasureRest starts a deployment and looks at it for a while.
+// MeasureRest starts a deployment and measures its idle daemons over window.
 func MeasureRest(p Programs, s Shape, window time.Duration) (Rest, error) {
 	d, err := deploy(p, s)
 	if err != nil {
 		return Rest{}, err
 	}
-	defer d.end()
+	defer d.stop()
 	time.Sleep(settleTime)
-	return d.rest(window)
+	return d.measureIdle(window)
 }
 
-// sample is the counts of a deployment at one instant.
+// sample holds the counts of a deployment at one instant, summed over its daemons.
 type sample struct {
 	at            time.Time
 	cpu           time.Duration
@@ -44,7 +46,7 @@
 	reads, writes float64
 }
 
-func (d *deployment) rest(window time.Duration) (Rest, error) {
+func (d *deployment) measureIdle(window time.Duration) (Rest, error) {
 	before, err := d.sample()
 	if err != nil {
 		return Rest{}, err
@@ -82,7 +84,7 @@
 		}
 		s.cpu += cpu
 		s.rss += rss
-		counted, err := snapshot(d.shape.adminAddress(i))
+		counted, err := readMetrics(d.shape.adminAddress(i))
 		if err != nil {
 			return s, err
 		}
--- a/internal/capacity/sessions.go
+++ b/internal/capacity/sessions.go
@@ -11,27 +11,28 @@
 	"github.com/buckthornshore/buckthornshore/pkg/config"
 )
 
-// sessionShape carries the callers' measurements: one daemon in each of the
-// three data centres, and one group.
+// sessionShape is the deployment for the measurements of sessions and statements: one
+// daemon in each of the three data centres, and one group.
 var sessionShape = Shape{Daemons: dataCentres, Groups: 1}
 
 const (
 	callTimeout = 10 * time.Second
-	// openers open sessions at once.
-	openers = 16
-	// quietTime after sessions were opened: garbage is collected and what only
-	// the start needed is let go.
+	// maxConcurrentOpens limits the number of sessions being opened at once.
+	maxConcurrentOpens = 16
+	// quietTime passes between opening sessions and measuring memory, so that garbage
+	// is collected and memory that only opening needed is released.
 	quietTime = 5 * time.Second
-	keyPut    = "k"
+	testKey   = "k"
 )
 
-// Statements of the stand-in's one kind of table.
+// Statements for the only kind of table that the stand-in database has.
 const (
 	putSQL = "insert into t (k, v) values ($1, $2) on conflict (k) do update set v = excluded.v"
 	getSQL = "select v from t where k = $1"
 )
 
-// connect opens a session that has no prepared statements of its own.
+// connect opens a session whose statements are not prepared. An empty class
+// omits the settings of the proxy, for a session directly at a target.
 func connect(address, class string) (*pgx.Conn, error) {
 	conf, err := pgx.ParseConfig(fmt.Sprintf("postgres://caller@%s/db?sslmode=disable", address))
 	if err != nil {
@@ -48,12 +49,12 @@
 	return pgx.ConnectConfig(ctx, conf)
 }
 
-func closeSession(c *pgx.Conn) { _ = c.Close(context.Background()) } // The daemon goes anyway.
+func closeSession(c *pgx.Conn) { _ = c.Close(context.Background()) } // The deployment is stopped afterwards anyway.
 
 func put(c *pgx.Conn) error {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	_, err := c.Exec(ctx, putSQL, keyPut, "v")
+	_, err := c.Exec(ctx, putSQL, testKey, "v")
 	return err
 }
 
@@ -61,11 +62,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	var value string
-	return c.QueryRow(ctx, getSQL, keyPut).Scan(&value)
+	return c.QueryRow(ctx, getSQL, testKey).Scan(&value)
 }
 
-// firstWrite waits until the deployment takes a write.
-func (d *deployment) firstWrite() error {
+// awaitWrite waits until the deployment acknowledges a write.
+func (d *deployment) awaitWrite() error {
 	return await("a write", func() error {
 		c, err := connect(d.shape.callerAddress(0), writeClass)
 		if err != nil {
@@ -76,15 +77,15 @@
 	})
 }
 
-// MeasureSessions returns the first daemon's resident memory with each number of
-// sessions open; each has read once and is idle.
+// MeasureSessions returns the first daemon's resident memory with each number of open
+// sessions; each session has executed one read and is idle.
 func MeasureSessions(p Programs, counts []int) ([]Point, error) {
 	d, err := deploy(p, sessionShape)
 	if err != nil {
 		return nil, err
 	}
-	defer d.end()
-	if err := d.firstWrite(); err != nil {
+	defer d.stop()
+	if err := d.awaitWrite(); err != nil {
 		return nil, err
 	}
 	var open []*pgx.Conn
@@ -110,13 +111,13 @@
 	var open []*pgx.Conn
 	var failure error
 	var wait sync.WaitGroup
-	places := make(chan struct{}, openers)
+	semaphore := make(chan struct{}, maxConcurrentOpens)
 	for range n {
-		places <- struct{}{}
+		semaphore <- struct{}{}
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			defer func() { <-places }()
+			defer func() { <-semaphore }()
 			c, err := connect(address, readClass)
 			if err == nil {
 				err = get(c)
@@ -134,32 +135,35 @@
 	return open, failure
 }
 
-// Statement is what one statement costs.
+// Statement is the cost of one statement.
 type Statement struct {
-	// Core is the daemons' processor time a statement, entry and pooler together.
+	// Core is the processor time per statement, summed over all daemons, among them
+	// the entry and the pooler, less what they use when idle.
 	Core time.Duration
-	// Latency is the median with one caller, through the proxy and direct.
+	// Latency is the median latency with one caller through the proxy, and Direct that
+	// of the same statement sent directly to the target.
 	Latency, Direct time.Duration
 }
 
-// MeasureStatements runs pairs of rounds, through the proxy and direct.
+// MeasureStatements measures statements in pairs of rounds: directly at the target, then
+// through the proxy.
 func MeasureStatements(p Programs, kind config.Kind, pairs int, round time.Duration) ([]Statement, error) {
 	d, err := deploy(p, sessionShape)
 	if err != nil {
 		return nil, err
 	}
-	defer d.end()
-	if err := d.firstWrite(); err != nil {
+	defer d.stop()
+	if err := d.awaitWrite(); err != nil {
 		return nil, err
 	}
 	time.Sleep(settleTime)
-	idle, err := d.rest(round)
+	idle, err := d.measureIdle(round)
 	if err != nil {
 		return nil, err
 	}
 	var out []Statement
 	for range pairs {
-		s, err := d.pair(kind, round, idle)
+		s, err := d.measurePair(kind, round, idle)
 		if err != nil {
 			return nil, err
 		}
@@ -168,12 +172,12 @@
 	return out, nil
 }
 
-func (d *deployment) pair(kind config.Kind, round time.Duration, idle Rest) (s Statement, err error) {
+func (d *deployment) measurePair(kind config.Kind, round time.Duration, idle Rest) (s Statement, err error) {
 	class, call := readClass, get
 	if kind == config.Write {
 		class, call = writeClass, put
 	}
-	direct, _, err := timed(d.shape.targetAddress(0), "", call, round)
+	direct, _, err := measureLatency(d.shape.targetAddress(0), "", call, round)
 	if err != nil {
 		return s, err
 	}
@@ -181,8 +185,8 @@
 	if err != nil {
 		return s, err
 	}
-	begun := time.Now()
-	proxied, n, err := timed(d.shape.callerAddress(0), class, call, round)
+	startedAt := time.Now()
+	proxied, n, err := measureLatency(d.shape.callerAddress(0), class, call, round)
 	if err != nil {
 		return s, err
 	}
@@ -190,8 +194,8 @@
 	if err != nil {
 		return s, err
 	}
-	atRest := time.Duration(idle.Core * float64(len(d.daemons)) * float64(time.Since(begun)))
-	return Statement{Core: (after - before - atRest) / time.Duration(n), Latency: proxied, Direct: direct}, nil
+	idleCPU := time.Duration(idle.Core * float64(len(d.daemons)) * float64(time.Since(startedAt)))
+	return Statement{Core: (after - before - idleCPU) / time.Duration(n), Latency: proxied, Direct: direct}, nil
 }
 
 // cpu returns the processor time of all daemons.
@@ -206,20 +210,21 @@
 	return sum, nil
 }
 
-// timed runs statements one after the other and returns the median and number.
-func timed(address, class string, call func(*pgx.Conn) error, round time.Duration) (time.Duration, int, error) {
+// measureLatency runs statements one after the other for the duration of a round and
+// returns their median latency and their number.
+func measureLatency(address, class string, call func(*pgx.Conn) error, round time.Duration) (time.Duration, int, error) {
 	c, err := connect(address, class)
 	if err != nil {
 		return 0, 0, err
 	}
 	defer closeSession(c)
-	var took []float64
-	for end := time.Now().Add(round); time.Now().Before(end); {
-		begun := time.Now()
+	var latencies []float64
+	for deadline := time.Now().Add(round); time.Now().Before(deadline); {
+		startedAt := time.Now()
 		if err := call(c); err != nil {
 			return 0, 0, err
 		}
-		took = append(took, float64(time.Since(begun)))
+		latencies = append(latencies, float64(time.Since(startedAt)))
 	}
-	return time.Duration(SpreadOf(took).Median), len(took), nil
+	return time.Duration(SpreadOf(latencies).Median), len(latencies), nil
 }
