--- a/internal/capacity/idle.go
+++ b/internal/capacity/idle.go
@@ -12,9 +12,9 @@
 // uses more resources while starting than when idle.
 const settleTime = 5 * time.Second
 
-// Rest is the resource use of one idle daemon, as the mean over the daemons of a
+// IdleCost is the resource use of one idle daemon, as the mean over the daemons of a
 // deployment.
-type Rest struct {
+type IdleCost struct {
 	// Core is the processor time used, as a fraction of one core.
 	Core float64
 	// RSS is the resident memory in bytes.
@@ -26,11 +26,11 @@
 	Reads, Writes float64
 }
 
-// MeasureRest starts a deployment and measures its idle daemons over window.
-func MeasureRest(p Programs, s Shape, window time.Duration) (Rest, error) {
+// MeasureIdle starts a deployment and measures its idle daemons over window.
+func MeasureIdle(p Programs, s Shape, window time.Duration) (IdleCost, error) {
 	d, err := deploy(p, s)
 	if err != nil {
-		return Rest{}, err
+		return IdleCost{}, err
 	}
 	defer d.stop()
 	time.Sleep(settleTime)
@@ -46,19 +46,19 @@
 	reads, writes float64
 }
 
-func (d *deployment) measureIdle(window time.Duration) (Rest, error) {
+func (d *deployment) measureIdle(window time.Duration) (IdleCost, error) {
 	before, err := d.sample()
 	if err != nil {
-		return Rest{}, err
+		return IdleCost{}, err
 	}
 	time.Sleep(window)
 	after, err := d.sample()
 	if err != nil {
-		return Rest{}, err
+		return IdleCost{}, err
 	}
 	seconds := after.at.Sub(before.at).Seconds()
 	daemons := float64(len(d.daemons))
-	r := Rest{
+	r := IdleCost{
 		Core:    (after.cpu - before.cpu).Seconds() / seconds / daemons,
 		RSS:     after.rss / daemons,
 		Traffic: map[string]float64{},
--- a/internal/capacity/planned.go
+++ b/internal/capacity/planned.go
@@ -21,24 +21,24 @@
 // targets, the rows of their groups and 3,900 VMs. The daemon is the relay of a data
 // centre without targets, so it pools no target and promotes none. The other VMs exist
 // only as rows; they share one address, which answers every request with 404.
-func MeasurePlanned(p Programs, window time.Duration) (Rest, error) {
+func MeasurePlanned(p Programs, window time.Duration) (IdleCost, error) {
 	d, err := newDeployment(p, Shape{Daemons: 1})
 	if err != nil {
-		return Rest{}, err
+		return IdleCost{}, err
 	}
 	defer d.stop()
 	otherVMs := &http.Server{Addr: d.shape.targetAddress(0), Handler: http.NotFoundHandler(), ReadHeaderTimeout: callTimeout}
 	go func() { _ = otherVMs.ListenAndServe() }()
 	defer func() { _ = otherVMs.Close() }()
 	if err := d.writePlanned(); err != nil {
-		return Rest{}, err
+		return IdleCost{}, err
 	}
 	if err := d.startDaemon(0, dataCentre(PlannedDataCentres-1)); err != nil {
-		return Rest{}, err
+		return IdleCost{}, err
 	}
 	err = await("the daemon", func() error { return ready(d.shape.adminAddress(0)) })
 	if err != nil {
-		return Rest{}, err
+		return IdleCost{}, err
 	}
 	time.Sleep(settleTime)
 	return d.measureIdle(window)
--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -45,26 +45,26 @@
 // daemonsOfGroupSweep is the number of daemons in the sweep over groups.
 const daemonsOfGroupSweep = 6
 
-// figure is a value of a Rest that the tables show, with its name there.
+// figure is a value of an IdleCost that the tables show, with its name there.
 type figure struct {
 	name  string
-	value func(Rest) float64
+	value func(IdleCost) float64
 }
 
 var figures = []figure{
-	{"core, %", func(r Rest) float64 { return r.Core * 100 }},
-	{"memory, MB", func(r Rest) float64 { return r.RSS / 1e6 }},
-	{"peers, B/s", func(r Rest) float64 { return r.Traffic[metrics.ServicePeers] }},
-	{"platform, B/s", func(r Rest) float64 { return r.Traffic[metrics.ServicePlatform] }},
-	{"targets, B/s", func(r Rest) float64 { return r.Traffic[metrics.ServiceTargets] }},
-	{"platform reads/s of all", func(r Rest) float64 { return r.Reads }},
-	{"platform writes/s of all", func(r Rest) float64 { return r.Writes }},
+	{"core, %", func(r IdleCost) float64 { return r.Core * 100 }},
+	{"memory, MB", func(r IdleCost) float64 { return r.RSS / 1e6 }},
+	{"peers, B/s", func(r IdleCost) float64 { return r.Traffic[metrics.ServicePeers] }},
+	{"platform, B/s", func(r IdleCost) float64 { return r.Traffic[metrics.ServicePlatform] }},
+	{"targets, B/s", func(r IdleCost) float64 { return r.Traffic[metrics.ServiceTargets] }},
+	{"platform reads/s of all", func(r IdleCost) float64 { return r.Reads }},
+	{"platform writes/s of all", func(r IdleCost) float64 { return r.Writes }},
 }
 
-// measurement is a Rest measured at a size.
+// measurement is an IdleCost measured at a size.
 type measurement struct {
 	size float64
-	idle Rest
+	idle IdleCost
 }
 
 // ReportGroups measures idle daemons with each number of groups per daemon.
@@ -86,7 +86,7 @@
 	var points []measurement
 	for range plan.Repeats {
 		for _, n := range sizes {
-			r, err := MeasureRest(p, shape(n), plan.Window)
+			r, err := MeasureIdle(p, shape(n), plan.Window)
 			if err != nil {
 				return err
 			}
@@ -131,7 +131,7 @@
 
 // ReportPlanned measures one idle daemon in a deployment of the planned size.
 func ReportPlanned(out io.Writer, p Programs, plan Plan) error {
-	var results []Rest
+	var results []IdleCost
 	for range plan.Repeats {
 		r, err := MeasurePlanned(p, plan.Window)
 		if err != nil {
--- a/internal/capacity/sessions.go
+++ b/internal/capacity/sessions.go
@@ -135,8 +135,8 @@
 	return open, failure
 }
 
-// Statement is the cost of one statement.
-type Statement struct {
+// StatementCost is the cost of one statement.
+type StatementCost struct {
 	// Core is the processor time per statement, summed over all daemons, among them
 	// the entry and the pooler, less what they use when idle.
 	Core time.Duration
@@ -147,7 +147,7 @@
 
 // MeasureStatements measures statements in pairs of rounds: directly at the target, then
 // through the proxy.
-func MeasureStatements(p Programs, kind config.Kind, pairs int, round time.Duration) ([]Statement, error) {
+func MeasureStatements(p Programs, kind config.Kind, pairs int, round time.Duration) ([]StatementCost, error) {
 	d, err := deploy(p, sessionShape)
 	if err != nil {
 		return nil, err
@@ -161,7 +161,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var out []Statement
+	var out []StatementCost
 	for range pairs {
 		s, err := d.measurePair(kind, round, idle)
 		if err != nil {
@@ -172,7 +172,7 @@
 	return out, nil
 }
 
-func (d *deployment) measurePair(kind config.Kind, round time.Duration, idle Rest) (s Statement, err error) {
+func (d *deployment) measurePair(kind config.Kind, round time.Duration, idle IdleCost) (s StatementCost, err error) {
 	class, call := readClass, get
 	if kind == config.Write {
 		class, call = writeClass, put
@@ -195,7 +195,7 @@
 		return s, err
 	}
 	idleCPU := time.Duration(idle.Core * float64(len(d.daemons)) * float64(time.Since(startedAt)))
-	return Statement{Core: (after - before - idleCPU) / time.Duration(n), Latency: proxied, Direct: direct}, nil
+	return StatementCost{Core: (after - before - idleCPU) / time.Duration(n), Latency: proxied, Direct: direct}, nil
 }
 
 // cpu returns the processor time of all daemons.
