--- a/internal/ctl/trace.go
+++ b/internal/ctl/trace.go
@@ -126,8 +126,8 @@
 }
 
 // traceOf returns the lines of a request and those that may explain them, in the order of time.
-// It keeps only the first line of a VM with the same event, target and group, because an
-// unreachable target is logged many times a second.
+// Of the latter it keeps only the first line of a VM with the same event, target and group,
+// because an unreachable target is logged many times a second.
 func traceOf(request string, lines []logLine) []logLine {
 	var found []logLine
 	seen := map[string]bool{}
