--- a/internal/load/balancer.go
+++ b/internal/load/balancer.go
@@ -6,27 +6,29 @@
 	"time"
 )
 
-// downTime is how long a proxy that took no connection gets no new ones.
+// downTime is how long a proxy that failed to accept a connection is avoided.
 const downTime = time.Second
 
-// balancer picks proxies as the platform's balancer does: not those that lately
-// took no connection. Without it callers would spend their retries on proxies
-// that a run has stopped, and the report would blame the product for it.
+// balancer picks proxies as the platform's load balancer does: it avoids those
+// that failed to accept a connection within downTime. Without it sessions would spend
+// their retries on proxies that the run's faults have stopped, and the report
+// would count these as failures of the system under test.
 type balancer struct {
-	mu   sync.Mutex
-	down []time.Time // until when, by proxy
+	mu        sync.Mutex
+	downUntil []time.Time // indexed by proxy
 }
 
-func newBalancer(proxies int) *balancer { return &balancer{down: make([]time.Time, proxies)} }
+func newBalancer(proxies int) *balancer { return &balancer{downUntil: make([]time.Time, proxies)} }
 
-// pick returns a random proxy other than the present one; -1 for any. When all
-// are down it picks any: one of them may be back.
-func (b *balancer) pick(rng *rand.Rand, present int, now time.Time) int {
+// pick returns a random proxy other than the current one; current is
+// noCurrentProxy when there is none. When all others are down it picks one of
+// them, since it may accept connections again.
+func (b *balancer) pick(rng *rand.Rand, current int, now time.Time) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var up, others []int
-	for i, until := range b.down {
-		if i == present {
+	for i, until := range b.downUntil {
+		if i == current {
 			continue
 		}
 		others = append(others, i)
@@ -40,11 +42,11 @@
 	case len(others) > 0:
 		return others[rng.IntN(len(others))]
 	}
-	return present
+	return current
 }
 
 func (b *balancer) markDown(proxy int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.down[proxy] = now.Add(downTime)
+	b.downUntil[proxy] = now.Add(downTime)
 }
--- a/internal/load/balancer_test.go
+++ b/internal/load/balancer_test.go
@@ -11,7 +11,7 @@
 var _ = Describe("The balancer", func() {
 	now := time.Unix(0, 0)
 
-	It("leaves out the present proxy and those that are down, until they may be back", func() {
+	It("avoids the current proxy, and a proxy that is down until its time is over", func() {
 		rng := rand.New(rand.NewPCG(1, 1))
 		b := newBalancer(3)
 		b.markDown(1, now)
@@ -25,7 +25,7 @@
 		Expect(picked).To(Equal(map[int]bool{1: true, 2: true}))
 	})
 
-	It("picks one that is down when all are, and the only one there is", func() {
+	It("picks a proxy that is down when all are, and the current one when there is no other", func() {
 		rng := rand.New(rand.NewPCG(1, 1))
 		b := newBalancer(2)
 		b.markDown(0, now)
--- a/internal/load/check.go
+++ b/internal/load/check.go
@@ -5,22 +5,22 @@
 	"slices"
 )
 
-// Check names a rule that the history is held against.
+// Check names a consistency rule that the history is checked against.
 type Check string
 
 // The checks.
 const (
-	CheckAnswers   Check = "whole answer to its own request"
-	CheckReadOwn   Check = "read-your-writes"
-	CheckOnce      Check = "at most once"
-	CheckLost      Check = "no acknowledged write lost"
-	CheckNotRun    Check = "not run is true"
-	CheckLinear    Check = "newest reads are linearizable"
-	maxViolations        = 20
-	notCheckedWhat       = "not checked: "
+	CheckAnswers     Check = "whole answer to its own request"
+	CheckReadOwn     Check = "read-your-writes"
+	CheckOnce        Check = "at most once"
+	CheckLost        Check = "no acknowledged write lost"
+	CheckNotRun      Check = "not run is true"
+	CheckLinear      Check = "newest reads are linearizable"
+	maxViolations          = 20
+	notCheckedPrefix       = "not checked: "
 )
 
-// Violation is a breach of a rule with the requests that show it.
+// Violation is a breach of a rule, with the requests that prove it.
 type Violation struct {
 	Check    Check    `json:"check"`
 	What     string   `json:"what"`
@@ -30,16 +30,17 @@
 // Verdict is the outcome of one check.
 type Verdict struct {
 	Check Check `json:"check"`
-	// Checked is how many requests, keys or rows were judged.
+	// Checked is the number of requests, keys or rows that were checked.
 	Checked int `json:"checked"`
-	// Unchecked says what could not be judged, and why.
+	// Unchecked describes what could not be checked, and why.
 	Unchecked string `json:"unchecked,omitempty"`
-	// Count of violations; only the first ones are listed.
+	// Count is the number of violations; Violations lists at most maxViolations
+	// of them.
 	Count      int         `json:"count"`
 	Violations []Violation `json:"violations,omitempty"`
 }
 
-func (v *Verdict) violated(requests []Record, format string, args ...any) {
+func (v *Verdict) addViolation(requests []Record, format string, args ...any) {
 	v.Count++
 	if len(v.Violations) >= maxViolations {
 		return
@@ -47,7 +48,8 @@
 	v.Violations = append(v.Violations, Violation{Check: v.Check, What: fmt.Sprintf(format, args...), Requests: requests})
 }
 
-// CheckHistory holds a history and the rows at its end against every rule.
+// CheckHistory checks a history and the rows at the end of the run against every
+// rule.
 func CheckHistory(records []Record, final Final, linearKeys int) []Verdict {
 	return []Verdict{
 		checkAnswers(records),
@@ -59,8 +61,8 @@
 	}
 }
 
-// checkAnswers finds answers that are not to the request: a read asks for one
-// key and gets that row or none.
+// checkAnswers finds answers that don't belong to their request: a read asks for
+// one key and must get that row or none.
 func checkAnswers(records []Record) Verdict {
 	v := Verdict{Check: CheckAnswers}
 	for _, r := range records {
@@ -69,25 +71,29 @@
 		}
 		v.Checked++
 		if len(r.AnswerKeys) > 1 || len(r.AnswerKeys) == 1 && r.AnswerKeys[0] != r.Key || r.Code == labelBadAnswer {
-			v.violated([]Record{r}, "asked for %q, answered %q", r.Key, r.AnswerKeys)
+			v.addViolation([]Record{r}, "asked for %q, answered %q", r.Key, r.AnswerKeys)
 		}
 	}
 	return v
 }
 
-// ownKey is what the checker knows of a key that one session writes.
+// ownKey is the write history of a key that only one session writes.
 type ownKey struct {
-	// acked is the newest completed write; others may be visible instead of it.
-	acked   *Record
-	older   map[int64]bool
+	// acked is the newest completed write.
+	acked *Record
+	// older holds the values of the completed writes before acked.
+	older map[int64]bool
+	// unknown holds the values of the writes whose outcome is unknown; a read may
+	// return one of these instead of acked.
 	unknown map[int64]bool
-	// waits is the newest completed write of a class that waits for a replica.
-	waits *Record
+	// replicated is the newest completed write whose class is acknowledged only
+	// after a replica holds it.
+	replicated *Record
 }
 
 func newOwnKey() *ownKey { return &ownKey{older: map[int64]bool{}, unknown: map[int64]bool{}} }
 
-func (k *ownKey) note(r *Record) {
+func (k *ownKey) addWrite(r *Record) {
 	switch r.Outcome {
 	case Completed:
 		if k.acked != nil {
@@ -95,17 +101,18 @@
 		}
 		k.acked = r
 		if r.Waits {
-			k.waits = r
+			k.replicated = r
 		}
 	case Unknown:
-		// It may take effect at any later time.
+		// The write may take effect at any later time.
 		k.unknown[r.Value] = true
 	}
 }
 
-// checkReadOwn holds each read of an own key against the session's writes before
-// it: the newest completed one, or one whose outcome is unknown, must show. An
-// anonymous session is its connection, so only writes of its epoch bind it.
+// checkReadOwn checks each read of a session's own key against the session's
+// earlier writes: it must return the newest completed one or one whose outcome is
+// unknown. An anonymous session lasts as long as its connection, so a read has to
+// reflect only writes of the same epoch.
 func checkReadOwn(records []Record) Verdict {
 	v := Verdict{Check: CheckReadOwn}
 	keys := map[string]*ownKey{}
@@ -118,31 +125,31 @@
 		}
 		switch {
 		case r.Operation == PutOwn:
-			k.note(r)
+			k.addWrite(r)
 		case r.Operation == GetOwn && r.Outcome == Completed:
 			v.Checked++
-			k.judge(&v, r)
+			k.checkRead(&v, r)
 		}
 	}
 	return v
 }
 
-func (k *ownKey) judge(v *Verdict, r *Record) {
+func (k *ownKey) checkRead(v *Verdict, r *Record) {
 	switch {
 	case k.unknown[r.Value]:
 	case k.acked == nil:
 		if r.Value != 0 {
-			v.violated([]Record{*r}, "read %d, which was never written", r.Value)
+			v.addViolation([]Record{*r}, "read %d, which was never written", r.Value)
 		}
 	case r.Value == k.acked.Value:
 	case r.Mode == Anonymous && r.Epoch != k.acked.Epoch && (r.Value == 0 || k.older[r.Value]):
 	default:
-		v.violated([]Record{*k.acked, *r}, "read %d after the write of %d was acknowledged", r.Value, k.acked.Value)
+		v.addViolation([]Record{*k.acked, *r}, "read %d after the write of %d was acknowledged", r.Value, k.acked.Value)
 	}
 }
 
-// inSessionOrder yields the indexes by the time that requests were sent, which
-// is their order within a session: it sends one at a time.
+// inSessionOrder yields the indexes of the records by the time that the requests
+// were sent. This is their order within a session, which sends one at a time.
 func inSessionOrder(records []Record) func(func(int) bool) {
 	order := make([]int, len(records))
 	for i := range order {
--- a/internal/load/check_final.go
+++ b/internal/load/check_final.go
@@ -7,20 +7,20 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Final is what the rows of the run hold at its end.
+// Final is the content of the run's rows at the end of the run.
 type Final struct {
 	Values map[string]int64
-	// Unread are the groups whose rows could not be read back.
+	// Unread maps each group whose rows could not be read back to the error.
 	Unread map[topology.GroupID]string
 }
 
-// readable reports whether the key's group was read back.
+// readable reports whether the group of the record's key was read back.
 func (f *Final) readable(r *Record) bool {
 	_, missing := f.Unread[r.Group]
 	return !missing
 }
 
-func (f *Final) missing() string {
+func (f *Final) uncheckedReason() string {
 	if len(f.Unread) == 0 {
 		return ""
 	}
@@ -29,20 +29,21 @@
 		parts = append(parts, fmt.Sprintf("%s: %s", group, why))
 	}
 	slices.Sort(parts)
-	return notCheckedWhat + fmt.Sprint(parts)
+	return notCheckedPrefix + fmt.Sprint(parts)
 }
 
-// counter is what the history says of a row that "add" requests raise.
-type counter struct {
+// counterHistory holds the "add" requests to one counter row.
+type counterHistory struct {
 	acked   int64
 	unknown []Record
 }
 
-// checkOnce finds doubled and lost requests that may not be repeated: a counter
-// lies between the completed requests and those plus the unknown ones.
+// checkOnce finds requests of non-repeatable classes that ran twice or were lost:
+// a counter must be at least the number of completed "add" requests and at most
+// that number plus the number of those with an unknown outcome.
 func checkOnce(records []Record, final Final) Verdict {
-	v := Verdict{Check: CheckOnce, Unchecked: final.missing()}
-	counters := map[string]*counter{}
+	v := Verdict{Check: CheckOnce, Unchecked: final.uncheckedReason()}
+	counters := map[string]*counterHistory{}
 	for i := range records {
 		r := &records[i]
 		if r.Operation != Add || !final.readable(r) {
@@ -50,7 +51,7 @@
 		}
 		c := counters[r.Key]
 		if c == nil {
-			c = &counter{}
+			c = &counterHistory{}
 			counters[r.Key] = c
 		}
 		switch r.Outcome {
@@ -62,18 +63,18 @@
 	}
 	for key, c := range counters {
 		v.Checked++
-		most := c.acked + int64(len(c.unknown))
-		if value := final.Values[key]; value < c.acked || value > most {
-			v.violated(c.unknown, "counter %q is %d; %d were acknowledged and %d are unknown", key, value, c.acked, len(c.unknown))
+		upperBound := c.acked + int64(len(c.unknown))
+		if value := final.Values[key]; value < c.acked || value > upperBound {
+			v.addViolation(c.unknown, "counter %q is %d; %d were acknowledged and %d are unknown", key, value, c.acked, len(c.unknown))
 		}
 	}
 	return v
 }
 
-// checkLost finds acknowledged writes that are gone. Only those of classes that
-// wait for a replica bind: the others may be lost with their primary.
+// checkLost finds acknowledged writes that were lost. It checks only writes of
+// classes that wait for a replica: the others may be lost with their primary.
 func checkLost(records []Record, final Final) Verdict {
-	v := Verdict{Check: CheckLost, Unchecked: final.missing()}
+	v := Verdict{Check: CheckLost, Unchecked: final.uncheckedReason()}
 	own := map[string]*ownKey{}
 	for i := range inSessionOrder(records) {
 		r := &records[i]
@@ -87,17 +88,17 @@
 			if own[r.Key] == nil {
 				own[r.Key] = newOwnKey()
 			}
-			own[r.Key].note(r)
+			own[r.Key].addWrite(r)
 		}
 	}
 	for key, k := range own {
-		if k.waits == nil {
+		if k.replicated == nil {
 			continue
 		}
 		v.Checked++
 		value := final.Values[key]
-		if value < k.waits.Value && !k.unknown[value] {
-			v.violated([]Record{*k.waits}, "key %q holds %d; %d was acknowledged", key, value, k.waits.Value)
+		if value < k.replicated.Value && !k.unknown[value] {
+			v.addViolation([]Record{*k.replicated}, "key %q holds %d; %d was acknowledged", key, value, k.replicated.Value)
 		}
 	}
 	return v
@@ -109,14 +110,14 @@
 	}
 	v.Checked++
 	if _, found := final.Values[r.Key]; !found {
-		v.violated([]Record{*r}, "the acknowledged row %q is gone", r.Key)
+		v.addViolation([]Record{*r}, "the acknowledged row %q is missing", r.Key)
 	}
 }
 
-// checkNotRun finds requests that were refused as not run and did run: their
-// value stands at the end or was read meanwhile.
+// checkNotRun finds requests that were refused as not run although they ran:
+// their value is in the row at the end, or a read returned it during the run.
 func checkNotRun(records []Record, final Final) Verdict {
-	v := Verdict{Check: CheckNotRun, Unchecked: final.missing()}
+	v := Verdict{Check: CheckNotRun, Unchecked: final.uncheckedReason()}
 	refused := map[string]map[int64]*Record{}
 	for i := range records {
 		r := &records[i]
@@ -130,13 +131,13 @@
 	}
 	for key, value := range final.Values {
 		if r := refused[key][value]; r != nil {
-			v.violated([]Record{*r}, "key %q holds %d, which was refused as not run", key, value)
+			v.addViolation([]Record{*r}, "key %q holds %d, which was refused as not run", key, value)
 		}
 	}
 	for i := range records {
 		r := &records[i]
 		if w := refused[r.Key][r.Value]; w != nil && !r.Operation.Writes() && r.Outcome == Completed && r.Value != 0 {
-			v.violated([]Record{*w, *r}, "read %d, which was refused as not run", r.Value)
+			v.addViolation([]Record{*w, *r}, "read %d, which was refused as not run", r.Value)
 		}
 	}
 	return v
--- a/internal/load/check_linear.go
+++ b/internal/load/check_linear.go
@@ -8,31 +8,31 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// linearTimeout bounds the search on one key: it is exponential in the number of
-// requests under way at once.
+// linearTimeout bounds the search on one key, which is exponential in the number
+// of concurrent requests.
 const linearTimeout = 5 * time.Second
 
-// registerInput is one operation on a key, as the model sees it.
+// registerInput is one operation on a key in the porcupine model.
 type registerInput struct {
 	write bool
 	value int64
 }
 
-// register is one key: a read returns the newest write's value.
+// register models one key: a read returns the value of the newest write.
 var register = porcupine.Model{
 	Init: func() any { return int64(0) },
 	Step: func(state, input, output any) (bool, any) {
-		in, at := input.(registerInput), state.(int64)
+		in, current := input.(registerInput), state.(int64)
 		if in.write {
 			return true, in.value
 		}
-		return output.(int64) == at, at
+		return output.(int64) == current, current
 	},
 }
 
-// checkLinear holds the reads of staleness 0 and the writes of some shared keys
-// against a register: there must be one order of all of them that fits each
-// one's time and answer.
+// checkLinear checks that the reads of staleness 0 and the writes of the busiest
+// shared keys are linearizable: for each key there must be a total order of its
+// requests that agrees with their times and answers.
 func checkLinear(records []Record, keys int) Verdict {
 	v := Verdict{Check: CheckLinear}
 	byKey := map[string][]Record{}
@@ -47,16 +47,16 @@
 			v.Checked++
 		case porcupine.Illegal:
 			v.Checked++
-			v.violated(firstIllegal(byKey[key]), "key %q: no order of its %d requests fits their answers", key, len(byKey[key]))
+			v.addViolation(firstIllegal(byKey[key]), "key %q: no order of its %d requests agrees with their answers", key, len(byKey[key]))
 		case porcupine.Unknown:
-			v.Unchecked = notCheckedWhat + "the search took too long on some keys"
+			v.Unchecked = notCheckedPrefix + "the search took too long on some keys"
 		}
 	}
 	return v
 }
 
 // busiest returns the keys with the most requests.
-func busiest(byKey map[string][]Record, most int) []string {
+func busiest(byKey map[string][]Record, limit int) []string {
 	var keys []string
 	for key := range byKey {
 		keys = append(keys, key)
@@ -70,7 +70,7 @@
 		}
 		return 1
 	})
-	return keys[:min(most, len(keys))]
+	return keys[:min(limit, len(keys))]
 }
 
 func operations(records []Record) []porcupine.Operation {
@@ -83,21 +83,21 @@
 			Return: int64(r.Done),
 		}
 		if r.Outcome == Unknown {
-			op.Return = math.MaxInt64 // It may take effect at any later time.
+			op.Return = math.MaxInt64 // The write may take effect at any later time.
 		}
 		out = append(out, op)
 	}
 	return out
 }
 
-// firstIllegal returns the shortest prefix of the history that fits no order, cut
-// to the requests that matter to a reader: its last ones.
+// firstIllegal finds the shortest prefix of the history that is not linearizable
+// and returns its last requests, which show the violation.
 func firstIllegal(records []Record) []Record {
 	const shown = 6
 	sorted := slices.Clone(records)
 	slices.SortFunc(sorted, func(a, b Record) int { return int(a.Done - b.Done) })
 	for n := 1; n <= len(sorted); n++ {
-		prefix := pending(sorted, n)
+		prefix := prefixWithPendingWrites(sorted, n)
 		if porcupine.CheckOperationsTimeout(register, operations(prefix), linearTimeout) == porcupine.Illegal {
 			return sorted[max(0, n-shown):n]
 		}
@@ -105,9 +105,9 @@
 	return nil
 }
 
-// pending returns the first n requests and, of the later ones, the writes that
-// had been sent by then: those may show already.
-func pending(sorted []Record, n int) []Record {
+// prefixWithPendingWrites returns the first n requests and those later writes that
+// were sent before the nth request ended, since reads may already return them.
+func prefixWithPendingWrites(sorted []Record, n int) []Record {
 	end := sorted[n-1].Done
 	out := slices.Clone(sorted[:n])
 	for _, r := range sorted[n:] {
--- a/internal/load/compare.go
+++ b/internal/load/compare.go
@@ -7,27 +7,27 @@
 	"slices"
 )
 
-// figure is one number of a report that comparisons show.
+// figure is one number of a class report that Compare shows.
 type figure struct {
-	name string
-	of   func(*ClassReport) float64
+	name  string
+	value func(*ClassReport) float64
 }
 
-const perMillisecond = 1e6
+const nanosecondsPerMillisecond = 1e6
 
 var figures = []figure{
 	{"completed/s", func(c *ClassReport) float64 { return c.PerSecond }},
-	{"p50 ms", func(c *ClassReport) float64 { return float64(c.Latency.P50) / perMillisecond }},
-	{"p99 ms", func(c *ClassReport) float64 { return float64(c.Latency.P99) / perMillisecond }},
+	{"p50 ms", func(c *ClassReport) float64 { return float64(c.Latency.P50) / nanosecondsPerMillisecond }},
+	{"p99 ms", func(c *ClassReport) float64 { return float64(c.Latency.P99) / nanosecondsPerMillisecond }},
 	{"not run", func(c *ClassReport) float64 { return float64(c.NotRun) }},
 	{"unknown", func(c *ClassReport) float64 { return float64(c.Unknown) }},
 }
 
-// Compare writes the medians of the reports with the same label and their ratio
-// to the first label's.
+// Compare writes, for each figure, the median over the reports of each label and
+// its ratio to the first label's median.
 func Compare(w io.Writer, reports []*RunReport) error {
 	labels := labelsOf(reports)
-	t := table(w)
+	t := newTable(w)
 	fmt.Fprint(t, "member\tclass\tfigure")
 	for n, label := range labels {
 		fmt.Fprintf(t, "\t%s (%d)", label, len(withLabel(reports, label)))
@@ -49,32 +49,32 @@
 
 func writeComparison(w io.Writer, reports []*RunReport, labels []string, title string, values func(*RunReport) []float64) {
 	fmt.Fprint(w, title)
-	var first float64
+	var baseline float64
 	for n, label := range labels {
-		var all []float64
+		var samples []float64
 		for _, r := range withLabel(reports, label) {
-			all = append(all, values(r)...)
+			samples = append(samples, values(r)...)
 		}
-		middle, ok := median(all)
+		middle, ok := median(samples)
 		if !ok {
 			fmt.Fprint(w, "\t-")
 		} else {
 			fmt.Fprintf(w, "\t%.2f", middle)
 		}
 		if n == 0 {
-			first = middle
+			baseline = middle
 			continue
 		}
-		fmt.Fprintf(w, "\t%s", ratio(middle, first, ok))
+		fmt.Fprintf(w, "\t%s", ratio(middle, baseline, ok))
 	}
 	fmt.Fprintln(w)
 }
 
-func ratio(value, first float64, ok bool) string {
-	if !ok || first == 0 {
+func ratio(value, baseline float64, ok bool) string {
+	if !ok || baseline == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%.2f", value/first)
+	return fmt.Sprintf("%.2f", value/baseline)
 }
 
 func classValues(key classKey, f figure) func(*RunReport) []float64 {
@@ -82,7 +82,7 @@
 		for i := range r.Classes {
 			c := &r.Classes[i]
 			if c.Member == key.Member && c.Class == key.Class {
-				return []float64{f.of(c)}
+				return []float64{f.value(c)}
 			}
 		}
 		return nil
@@ -94,16 +94,16 @@
 		return nil
 	}
 	longest := slices.MaxFunc(r.Gaps, func(a, b Gap) int { return cmp.Compare(a.Length, b.Length) })
-	return []float64{float64(longest.Length) / perMillisecond}
+	return []float64{float64(longest.Length) / nanosecondsPerMillisecond}
 }
 
 func shareValues(r *RunReport) []float64 {
-	var all ClassShare
+	var total ClassShare
 	for _, c := range r.Share.Classes {
-		all.Replica += c.Replica
-		all.Primary += c.Primary
+		total.Replica += c.Replica
+		total.Primary += c.Primary
 	}
-	if percent, ok := all.Percent(); ok {
+	if percent, ok := total.Percent(); ok {
 		return []float64{percent}
 	}
 	return nil
--- a/internal/load/fault.go
+++ b/internal/load/fault.go
@@ -12,18 +12,21 @@
 
 // Fault is one step of the fault plan.
 type Fault struct {
-	// At counts from the start of the run.
+	// At is the time from the start of the run.
 	At     settings.Duration `json:"at"`
 	Action Action            `json:"action"`
-	// Target is a name of the pid file, "primary:service/group" for whichever
-	// database is primary then, or a database's id for the replication delay.
+	// Target is a process name of the pid file, "primary:service/group" for the
+	// database that is the group's primary at that time, or a database's id for
+	// the replication delay. For a platform fault it is a prefix of the callers
+	// that the fault applies to.
 	Target string `json:"target"`
-	// Value of the action: the delay, the latency, or the share of lost answers.
+	// Value is the parameter of the action: the delay, the latency, or the share
+	// of lost answers.
 	Value string `json:"value"`
-	// For is how long it lasts before it is undone; 0 leaves it.
+	// For is the time after which the fault is undone; 0 leaves it in place.
 	For settings.Duration `json:"for"`
-	// undoes: the fault is the reversal of an earlier one.
-	undoes bool
+	// isReversal is set when the fault undoes an earlier one.
+	isReversal bool
 }
 
 // Action is what a fault does.
@@ -42,15 +45,17 @@
 	PlatformHealthy  Action = "platform-healthy"
 )
 
-// primaryPrefix begins a target that means the group's primary of the moment.
+// primaryPrefix marks a target that is the group's primary at the time of the
+// fault.
 const primaryPrefix = "primary:"
 
 func (f Fault) signals() bool {
 	return f.Action == Kill || f.Action == Freeze || f.Action == Thaw || f.Action == Terminate
 }
 
-// stopsWrites: writes may stop, so the gap is measured.
-func (f Fault) stopsWrites() bool {
+// mayStopWrites reports whether writes may stop, so that the gap without completed
+// writes is measured.
+func (f Fault) mayStopWrites() bool {
 	return f.Action != Thaw && f.Action != PlatformHealthy && f.Action != ReplicationDelay
 }
 
@@ -65,9 +70,9 @@
 	return strings.Join(parts, " ")
 }
 
-// reversal returns the fault that undoes f, if anything does.
+// reversal returns the fault that undoes f, and whether f is to be undone.
 func (f Fault) reversal() (Fault, bool) {
-	undo := Fault{At: f.At + f.For, Target: f.Target, undoes: true}
+	undo := Fault{At: f.At + f.For, Target: f.Target, isReversal: true}
 	switch f.Action {
 	case Freeze:
 		undo.Action = Thaw
@@ -111,14 +116,14 @@
 	return nil
 }
 
-// ParseFault reads a fault from a flag: at,action[,target[,value[,for]]].
+// ParseFault parses a fault of the form at,action[,target[,value[,for]]].
 func ParseFault(text string) (Fault, error) {
 	parts := strings.Split(text, ",")
-	const most = 5
-	if len(parts) < 2 || len(parts) > most {
+	const maxParts = 5
+	if len(parts) < 2 || len(parts) > maxParts {
 		return Fault{}, invalid("fault %q is not at,action,target,value,for", text)
 	}
-	parts = append(parts, make([]string, most-len(parts))...)
+	parts = append(parts, make([]string, maxParts-len(parts))...)
 	f := Fault{Action: Action(parts[1]), Target: parts[2], Value: parts[3]}
 	at, err := time.ParseDuration(parts[0])
 	if err != nil {
@@ -126,11 +131,11 @@
 	}
 	f.At = settings.Duration(at)
 	if parts[4] != "" {
-		lasts, err := time.ParseDuration(parts[4])
+		duration, err := time.ParseDuration(parts[4])
 		if err != nil {
 			return f, invalid("fault %q: %v", text, err)
 		}
-		f.For = settings.Duration(lasts)
+		f.For = settings.Duration(duration)
 	}
 	return f, f.check()
 }
--- a/internal/load/gap.go
+++ b/internal/load/gap.go
@@ -5,31 +5,33 @@
 	"time"
 )
 
-// Gap is a group's time without completed writes around a fault.
+// Gap is the time without completed writes of a group around a fault.
 type Gap struct {
 	Group string `json:"group"`
-	// Fault that it is counted from, and when it came.
+	// Fault is the fault that the gap is attributed to, At when it was injected.
 	Fault string        `json:"fault"`
 	At    time.Duration `json:"at_ns"`
-	// Length of the longest time without a completed write that ends after the
+	// Length is the longest time without a completed write that ended after the
 	// fault and began before the next one.
 	Length time.Duration `json:"length_ns"`
-	// Open: no write completed any more, so the length is a lower bound.
+	// Open is set when no write completed until the end of the load, so that
+	// Length is a lower bound.
 	Open bool `json:"open"`
-	// Usual is the longest such time before the fault, for comparison.
+	// Usual is the longest time without a completed write before the fault.
 	Usual time.Duration `json:"usual_ns"`
-	// FirstRefusal and FirstSuccess after the fault, counted from it; nil when
-	// there was none.
+	// FirstRefusal and FirstSuccess are the times from the fault to the first
+	// refused and the first completed write after it; nil when there was none.
 	FirstRefusal *time.Duration `json:"first_refusal_ns,omitempty"`
 	FirstSuccess *time.Duration `json:"first_success_ns,omitempty"`
 }
 
-// span is when a fault counts: from start, when measuring begins, over the fault
-// itself and until the next one, to end, when the load stops.
-type span struct{ start, at, next, end time.Duration }
+// faultWindow holds the times around a fault: start is when measuring begins, at
+// is the fault, next is the next fault and end is when the load stops.
+type faultWindow struct{ start, at, next, end time.Duration }
 
-// measureGap looks at the completed and refused writes of a group.
-func measureGap(completed, refused []time.Duration, s span) Gap {
+// measureGap computes a group's gap from the times of its completed and refused
+// writes.
+func measureGap(completed, refused []time.Duration, s faultWindow) Gap {
 	completed, refused = slices.Sorted(slices.Values(completed)), slices.Sorted(slices.Values(refused))
 	g := Gap{At: s.at, FirstRefusal: firstAfter(refused, s.at), FirstSuccess: firstAfter(completed, s.at)}
 	last := s.start
@@ -37,7 +39,7 @@
 		if done < s.start {
 			continue
 		}
-		if s.leftToNext(last, done, g.Usual) {
+		if s.belongsToNextFault(last, done, g.Usual) {
 			return g
 		}
 		if done < s.at {
@@ -47,15 +49,16 @@
 		}
 		last = done
 	}
-	if rest := s.end - last; rest > max(g.Length, g.Usual) && !s.leftToNext(last, s.end, g.Usual) {
+	if rest := s.end - last; rest > max(g.Length, g.Usual) && !s.belongsToNextFault(last, s.end, g.Usual) {
 		g.Length, g.Open = rest, true
 	}
 	return g
 }
 
-// leftToNext: the time from one completed write to the other is the next fault's,
-// since it was no longer than usual when that fault came.
-func (s span) leftToNext(last, done, usual time.Duration) bool {
+// belongsToNextFault reports whether the time between two completed writes is
+// attributed to the next fault: when that fault was injected, the time was no
+// longer than usual.
+func (s faultWindow) belongsToNextFault(last, done, usual time.Duration) bool {
 	return done >= s.next && s.next-last <= usual
 }
 
--- a/internal/load/html.go
+++ b/internal/load/html.go
@@ -15,7 +15,7 @@
 //go:embed report.html
 var reportPage string
 
-// Size of the charts in pixels.
+// Sizes of the charts in pixels.
 const (
 	chartWidth  = 900
 	chartHeight = 220
@@ -30,7 +30,7 @@
 	"colour":     colour,
 }).Parse(reportPage))
 
-// WriteHTML writes the report as one page without outside parts.
+// WriteHTML writes the report as a self-contained HTML page.
 func (r *RunReport) WriteHTML(path string) error {
 	var page bytes.Buffer
 	if err := reportTemplate.Execute(&page, r); err != nil {
@@ -39,12 +39,12 @@
 	return errors.Wrap(os.WriteFile(path, page.Bytes(), fileMode), "report")
 }
 
-// colours tell the classes apart.
+// colours are the colours of the classes in tables and charts.
 var colours = []string{"#1b6ca8", "#c8553d", "#3a7d44", "#8b5fbf", "#c29200", "#007f7f", "#7a4419", "#555555"}
 
 func colour(n int) string { return colours[n%len(colours)] }
 
-// bars draws the latency percentiles of each class.
+// bars draws the latency percentiles of each class as a bar chart.
 func bars(r *RunReport) template.HTML {
 	slowest := time.Duration(1)
 	for _, c := range r.Classes {
@@ -68,7 +68,8 @@
 	return svg(y, b.String())
 }
 
-// throughput draws the completed requests of each second and marks the faults.
+// throughput draws the completed requests per second of each class and marks the
+// faults.
 func throughput(r *RunReport) template.HTML {
 	highest, seconds := 1, 1
 	for _, c := range r.Classes {
@@ -96,7 +97,7 @@
 	return svg(chartHeight+20, b.String())
 }
 
-// svg wraps shapes whose texts are escaped already.
+// svg wraps shapes in an svg element. Their texts must be escaped already.
 func svg(height int, shapes string) template.HTML {
 	return template.HTML(fmt.Sprintf(`<svg viewBox="0 0 %d %d" width="%d" height="%d">%s</svg>`,
 		chartWidth, height, chartWidth, height, shapes))
--- a/internal/load/injector.go
+++ b/internal/load/injector.go
@@ -15,47 +15,51 @@
 	"github.com/buckthornshore/buckthornshore/rpc/platformpb"
 )
 
-// Injection is a fault that was carried out.
+// Injection is a fault that was injected, or failed to be.
 type Injection struct {
 	Fault string        `json:"fault"`
 	At    time.Duration `json:"at_ns"`
-	// Group whose targets it hit; empty for faults of the platform.
+	// Group is the group of the target that the fault hit; empty when it hit no
+	// target.
 	Group string `json:"group,omitempty"`
-	// Hit is the process or database that it hit.
+	// Hit is the process or database that the fault hit.
 	Hit   string `json:"hit,omitempty"`
 	Error string `json:"error,omitempty"`
-	// gap: writes may stop, so the group's gap is measured.
-	gap bool
+	// writesMayStop is set when the fault may stop writes, so that the group's gap
+	// is measured.
+	writesMayStop bool
 }
 
-// stops reports whether writes may stop by the fault, which did happen.
-func (n *Injection) stops() bool { return n.gap && n.Error == "" }
+// measuresGap reports whether the gap is measured: the fault may stop writes and
+// its injection succeeded.
+func (n *Injection) measuresGap() bool { return n.writesMayStop && n.Error == "" }
 
-// injector carries out the fault plan.
+// injector injects the faults of the plan.
 type injector struct {
 	conf      *config.View
 	processes Processes
 	standIn   platformpb.StandIn
 	log       *slog.Logger
-	since     func() time.Duration
+	elapsed   func() time.Duration
 
-	// hits keeps which process a "primary:" target was when it was frozen or
-	// slowed: after a failover the same words mean another one.
-	hits map[string]string
+	// resolvedPrimaries maps a "primary:" target to the process that it resolved
+	// to, so that undoing a fault reaches the same process: after a failover
+	// another one is primary.
+	resolvedPrimaries map[string]string
 
 	mu         sync.Mutex
 	injections []Injection
 }
 
-func newInjector(o Options, since func() time.Duration) *injector {
-	i := &injector{conf: o.Config, processes: o.Processes, log: o.Log, since: since, hits: map[string]string{}}
+func newInjector(o Options, elapsed func() time.Duration) *injector {
+	i := &injector{conf: o.Config, processes: o.Processes, log: o.Log, elapsed: elapsed, resolvedPrimaries: map[string]string{}}
 	if url := o.Profiles[0].PlatformURL; url != "" {
 		i.standIn = platformpb.NewStandInProtobufClient(url, http.DefaultClient)
 	}
 	return i
 }
 
-// schedule orders the faults and those that undo them.
+// schedule returns the faults and their reversals in the order of time.
 func schedule(faults []Fault) []Fault {
 	all := slices.Clone(faults)
 	for _, f := range faults {
@@ -67,31 +71,31 @@
 	return all
 }
 
-// run carries out the plan until ctx ends.
+// run injects the faults of the plan at their times until ctx ends.
 func (i *injector) run(ctx context.Context, faults []Fault) {
 	for _, f := range schedule(faults) {
-		if !sleepUntil(ctx, i.since, f.At.Std()) {
+		if !sleepUntil(ctx, i.elapsed, f.At.Std()) {
 			return
 		}
 		i.inject(ctx, f)
 	}
 }
 
-// faultTimeout bounds one fault's own request.
+// faultTimeout bounds the injection of one fault.
 const faultTimeout = 3 * time.Second
 
 func (i *injector) inject(ctx context.Context, f Fault) {
 	ctx, cancel := context.WithTimeout(ctx, faultTimeout)
 	defer cancel()
-	n := Injection{Fault: f.String(), gap: f.stopsWrites()}
+	n := Injection{Fault: f.String(), writesMayStop: f.mayStopWrites()}
 	var err error
 	n.Hit, err = i.resolve(ctx, f)
 	if t, ok := i.conf.Target(topology.TargetID(n.Hit)); ok {
 		n.Group = string(t.Group)
 	}
-	n.At = i.since()
+	n.At = i.elapsed()
 	if err == nil {
-		err = i.carryOut(ctx, f, n.Hit)
+		err = i.apply(ctx, f, n.Hit)
 	}
 	if err != nil {
 		n.Error = err.Error()
@@ -102,26 +106,26 @@
 	i.injections = append(i.injections, n)
 }
 
-// resolve finds the process or database that the fault means.
+// resolve returns the process or database that the fault's target names.
 func (i *injector) resolve(ctx context.Context, f Fault) (string, error) {
 	group, ok := strings.CutPrefix(f.Target, primaryPrefix)
 	if !ok {
 		return f.Target, nil
 	}
-	if hit, known := i.hits[f.Target]; known && f.undoes {
+	if hit, known := i.resolvedPrimaries[f.Target]; known && f.isReversal {
 		return hit, nil
 	}
 	hit, err := i.primary(ctx, topology.GroupID(group))
-	i.hits[f.Target] = hit
+	i.resolvedPrimaries[f.Target] = hit
 	return hit, err
 }
 
-func (i *injector) carryOut(ctx context.Context, f Fault, target string) error {
+func (i *injector) apply(ctx context.Context, f Fault, target string) error {
 	if f.signals() {
 		return i.processes.Signal(target, f.Action)
 	}
 	if f.Action == ReplicationDelay {
-		return i.delayReplication(ctx, topology.TargetID(target), f.Value)
+		return i.setReplicationDelay(ctx, topology.TargetID(target), f.Value)
 	}
 	if i.standIn == nil {
 		return invalid("the profile has no platform_url")
@@ -130,7 +134,8 @@
 	return err
 }
 
-// platformFaults translates a fault; none is the healthy platform.
+// platformFaults converts a fault to those of the platform stand-in. An empty list
+// makes the platform healthy.
 func platformFaults(f Fault) []*platformpb.Fault {
 	p := &platformpb.Fault{CallerPrefix: f.Target}
 	switch f.Action {
@@ -147,15 +152,15 @@
 	return []*platformpb.Fault{p}
 }
 
-func (i *injector) done() []Injection {
+func (i *injector) performed() []Injection {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return slices.Clone(i.injections)
 }
 
-// sleepUntil returns false when ctx ended first.
-func sleepUntil(ctx context.Context, since func() time.Duration, at time.Duration) bool {
-	timer := time.NewTimer(at - since())
+// sleepUntil waits until elapsed reaches at. It returns false when ctx ended first.
+func sleepUntil(ctx context.Context, elapsed func() time.Duration, at time.Duration) bool {
+	timer := time.NewTimer(at - elapsed())
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -165,17 +170,18 @@
 	}
 }
 
-// undo ends the faults that were to be undone later than the load's end.
-// It runs after an interrupt too: a process left frozen would outlive the tool.
+// undo undoes the faults whose end lies after the end of the load. It
+// runs after an interrupt too: otherwise a frozen process would stay frozen after
+// the tool has exited.
 func (i *injector) undo(ctx context.Context, faults []Fault) {
 	ctx = context.WithoutCancel(ctx)
 	injected := map[string]bool{}
-	for _, n := range i.done() {
+	for _, n := range i.performed() {
 		injected[n.Fault] = true
 	}
 	for _, f := range faults {
 		undo, ok := f.reversal()
-		if ok && injected[f.String()] && undo.At.Std() > i.since() {
+		if ok && injected[f.String()] && undo.At.Std() > i.elapsed() {
 			i.inject(ctx, undo)
 		}
 	}
--- a/internal/load/member.go
+++ b/internal/load/member.go
@@ -13,7 +13,7 @@
 	"github.com/buckthornshore/buckthornshore/pkg/config"
 )
 
-// memberLoad offers one member's workload.
+// memberLoad generates the load of one member.
 type memberLoad struct {
 	run         *run
 	profile     *Profile
@@ -21,9 +21,9 @@
 	proxies     *balancer
 	idle        chan *session
 	outstanding chan struct{}
-	wait        sync.WaitGroup
+	inFlight    sync.WaitGroup
 	nextID      atomic.Uint64
-	// prefix begins the run's keys and session ids.
+	// prefix is the common prefix of the run's keys and session ids.
 	prefix string
 }
 
@@ -47,56 +47,58 @@
 	return m
 }
 
-// offer starts an arrival process for each class and waits for all answers.
+// offer runs an arrival process for each class until ctx ends and waits for the
+// outstanding requests.
 func (m *memberLoad) offer(ctx context.Context) {
 	var arrivals sync.WaitGroup
 	for n, c := range m.profile.Classes {
 		arrivals.Add(1)
 		go func() {
 			defer arrivals.Done()
-			m.arrive(ctx, c, rand.New(rand.NewPCG(m.profile.Seed, arrivalStream+uint64(n))))
+			m.generateArrivals(ctx, c, rand.New(rand.NewPCG(m.profile.Seed, arrivalStream+uint64(n))))
 		}()
 	}
 	arrivals.Wait()
-	m.wait.Wait()
+	m.inFlight.Wait()
 }
 
-// arrivalStream keeps the arrivals' random numbers apart from the sessions'.
+// arrivalStream is the first random stream of the arrivals; the sessions use the
+// streams below it.
 const arrivalStream = 1 << 32
 
-// arrive is an open loop: the next arrival does not wait for earlier answers,
-// and one that comes late is still counted from when it was due.
-func (m *memberLoad) arrive(ctx context.Context, c ClassLoad, rng *rand.Rand) {
+// generateArrivals is an open loop: an arrival does not wait for earlier answers,
+// and the latency of a late one is still measured from when it was due.
+func (m *memberLoad) generateArrivals(ctx context.Context, c ClassLoad, rng *rand.Rand) {
 	rate := c.Rate * m.profile.Multiplier
 	if rate <= 0 {
 		return
 	}
-	due := m.run.since()
+	due := m.run.elapsed()
 	for {
 		due += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
-		if !sleepUntil(ctx, m.run.since, due) {
+		if !sleepUntil(ctx, m.run.elapsed, due) {
 			return
 		}
-		op := pick(c.Operations, rng)
+		op := pickOperation(c.Operations, rng)
 		select {
 		case m.outstanding <- struct{}{}:
-			m.wait.Add(1)
-			go m.serve(c, op, due)
+			m.inFlight.Add(1)
+			go m.handleArrival(c, op, due)
 		default:
 			m.run.stats.overrun(classKey{m.profile.Member, c.Name}, due)
 		}
 	}
 }
 
-// pick chooses an operation by weight.
-func pick(weights map[Operation]float64, rng *rand.Rand) Operation {
+// pickOperation chooses a random operation by weight.
+func pickOperation(weights map[Operation]float64, rng *rand.Rand) Operation {
 	ops := make([]Operation, 0, len(weights))
 	sum := 0.0
 	for op, weight := range weights {
 		ops = append(ops, op)
 		sum += weight
 	}
-	slices.Sort(ops) // A map's order is random; the seed decides here.
+	slices.Sort(ops) // The order of a map is random; a sorted list makes the choice depend on the seed only.
 	at := rng.Float64() * sum
 	for _, op := range ops {
 		if at -= weights[op]; at < 0 {
@@ -106,35 +108,35 @@
 	return ops[len(ops)-1]
 }
 
-// serve runs one request on the session that has been idle longest.
-func (m *memberLoad) serve(c ClassLoad, op Operation, due time.Duration) {
-	defer m.wait.Done()
+// handleArrival runs one request on the session that has been idle longest.
+func (m *memberLoad) handleArrival(c ClassLoad, op Operation, due time.Duration) {
+	defer m.inFlight.Done()
 	defer func() { <-m.outstanding }()
 	s := <-m.idle
 	defer func() { m.idle <- s }()
-	r := m.record(s, c, op, due)
+	r := m.newRecord(s, c, op, due)
 	m.send(s, c, r)
 	if op == PutOwn && r.Outcome == Completed && s.rng.Float64() < c.ReadBackShare {
-		m.readOwn(s, c.ReadBack, r.Key)
+		m.readOwnWrite(s, c.ReadBack, r.Key)
 	}
 }
 
-// readOwn reads what the session has just written.
-func (m *memberLoad) readOwn(s *session, class, key string) {
+// readOwnWrite reads a key that the session has just written.
+func (m *memberLoad) readOwnWrite(s *session, class, key string) {
 	c := ClassLoad{Name: class}
-	r := m.record(s, c, GetOwn, m.run.since())
+	r := m.newRecord(s, c, GetOwn, m.run.elapsed())
 	r.Key = key
 	r.Group, _ = m.run.o.Config.GroupOf(m.profile.Service, key)
 	m.send(s, c, r)
 }
 
 func (m *memberLoad) send(s *session, c ClassLoad, r *Record) {
-	s.send(r, c, m.run.since)
+	s.send(r, c, m.run.elapsed)
 	m.run.history.Add(*r)
 	m.run.stats.add(r)
 }
 
-func (m *memberLoad) record(s *session, c ClassLoad, op Operation, due time.Duration) *Record {
+func (m *memberLoad) newRecord(s *session, c ClassLoad, op Operation, due time.Duration) *Record {
 	class, _ := m.run.o.Config.Class(m.profile.Service, c.Name)
 	r := &Record{
 		ID:        m.nextID.Add(1),
@@ -155,8 +157,9 @@
 	return r
 }
 
-// keyAndValue chooses the row. A session's own keys and their values are its
-// alone; a shared key's values are unique in the run.
+// keyAndValue chooses the key and, for a write, the value. Only the session itself
+// writes its own keys, with increasing values; the values of shared keys are
+// unique in the run.
 func (m *memberLoad) keyAndValue(s *session, r *Record) (key string, value int64) {
 	switch r.Operation {
 	case PutOwn, GetOwn:
@@ -188,7 +191,7 @@
 	}
 }
 
-// describe names the load in messages.
+// describe returns the name of the load for messages.
 func (m *memberLoad) describe() string {
 	return fmt.Sprintf("%s/%s", m.profile.Member, m.profile.Service)
 }
--- a/internal/load/outcome.go
+++ b/internal/load/outcome.go
@@ -13,27 +13,27 @@
 	"github.com/buckthornshore/buckthornshore/pkg/result"
 )
 
-// answer is how one attempt ended.
-type answer struct {
+// attemptResult is the result of one attempt of a request.
+type attemptResult struct {
 	outcome Outcome
 	// code is the result code's name, an SQLSTATE or one of the labels below.
 	code       string
 	retryAfter time.Duration
-	// lost: the connection can't be used any more.
-	lost bool
+	// connLost is set when the connection can't be used any more.
+	connLost bool
 }
 
-// Labels of attempts that got no result code.
+// Labels of attempts that ended without a result code or SQLSTATE.
 const (
-	labelOK            = "ok"
-	labelNotConnected  = "not-connected"
-	labelNotSent       = "not-sent"
-	labelClientTimeout = "client-timeout"
-	labelConnectionCut = "connection-lost"
+	labelOK             = "ok"
+	labelNotConnected   = "not-connected"
+	labelNotSent        = "not-sent"
+	labelClientTimeout  = "client-timeout"
+	labelConnectionLost = "connection-lost"
 )
 
-// byState finds the result code of an SQLSTATE.
-var byState = func() map[string]result.Code {
+// codesBySQLState maps SQLSTATEs to result codes.
+var codesBySQLState = func() map[string]result.Code {
 	codes := map[string]result.Code{}
 	for _, c := range result.All() {
 		codes[c.SQLState()] = c
@@ -41,36 +41,38 @@
 	return codes
 }()
 
-// classify reads an attempt's error; nil is a completed request.
-func classify(err error) answer {
-	var refused *pgconn.PgError
+// classify converts the error of an attempt to its result; nil is a completed
+// request.
+func classify(err error) attemptResult {
+	var pgErr *pgconn.PgError
 	switch {
 	case err == nil:
-		return answer{outcome: Completed, code: labelOK}
-	case errors.As(err, &refused):
-		return classifyRefusal(refused)
+		return attemptResult{outcome: Completed, code: labelOK}
+	case errors.As(err, &pgErr):
+		return classifyRefusal(pgErr)
 	case pgconn.SafeToRetry(err):
-		return answer{outcome: NotRun, code: labelNotSent, lost: true}
+		return attemptResult{outcome: NotRun, code: labelNotSent, connLost: true}
 	case errors.Is(err, context.DeadlineExceeded), pgconn.Timeout(err):
-		return answer{outcome: Unknown, code: labelClientTimeout, lost: true}
+		return attemptResult{outcome: Unknown, code: labelClientTimeout, connLost: true}
 	}
-	return answer{outcome: Unknown, code: labelConnectionCut, lost: true}
+	return attemptResult{outcome: Unknown, code: labelConnectionLost, connLost: true}
 }
 
-// effect is the part of a result's message that states the effect: one code can
-// come with several, so the message goes before the code's usual one.
-var effect = regexp.MustCompile(`^BTS-\d+ .*?\((not run|unknown|run)\)`)
+// effectPattern matches the part of an error message that states whether the
+// request ran. A result code can occur with several effects, so the message takes
+// precedence over the code's usual effect.
+var effectPattern = regexp.MustCompile(`^BTS-\d+ .*?\((not run|unknown|run)\)`)
 
-func classifyRefusal(e *pgconn.PgError) answer {
-	a := answer{outcome: Unknown, code: e.Code, lost: e.Severity == "FATAL", retryAfter: retryAfter(e.Hint)}
-	code, ours := byState[e.Code]
-	if !ours {
+func classifyRefusal(e *pgconn.PgError) attemptResult {
+	a := attemptResult{outcome: Unknown, code: e.Code, connLost: e.Severity == "FATAL", retryAfter: retryAfter(e.Hint)}
+	code, known := codesBySQLState[e.Code]
+	if !known {
 		a.outcome = databaseOutcome(e.Code)
 		return a
 	}
 	a.code = code.Name()
 	ran := code.Ran().String()
-	if m := effect.FindStringSubmatch(e.Message); m != nil {
+	if m := effectPattern.FindStringSubmatch(e.Message); m != nil {
 		ran = m[1]
 	}
 	switch ran {
@@ -82,8 +84,9 @@
 	return a
 }
 
-// databaseOutcome reads a database's own SQLSTATE. Shutdown, cancellation and
-// internal errors may follow a commit; all others roll the statement back.
+// databaseOutcome returns the outcome for a database's own SQLSTATE. Connection,
+// shutdown, cancellation, system and internal errors may follow a commit; all
+// others roll the statement back.
 func databaseOutcome(state string) Outcome {
 	for _, class := range []string{"08", "57", "58", "XX"} {
 		if strings.HasPrefix(state, class) {
@@ -93,10 +96,10 @@
 	return NotRun
 }
 
-const retryHint = "retry_after_ms="
+const retryHintPrefix = "retry_after_ms="
 
 func retryAfter(hint string) time.Duration {
-	text, ok := strings.CutPrefix(hint, retryHint)
+	text, ok := strings.CutPrefix(hint, retryHintPrefix)
 	if !ok {
 		return 0
 	}
--- a/internal/load/pids.go
+++ b/internal/load/pids.go
@@ -9,15 +9,15 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Processes are the ones that faults may signal, by name. The tool signals no
-// other process and starts none.
+// Processes maps the names of the processes that faults may signal to their ids.
+// The tool signals no other process and starts none.
 type Processes map[string]int
 
-// lowestPID keeps a damaged file from naming init, the tool's own process group
-// (0) or every process (-1).
+// lowestPID is the lowest process id that a pid file may hold, so that a damaged
+// file can't name init (1), the tool's own process group (0) or every process (-1).
 const lowestPID = 2
 
-// ReadProcesses reads lines of name=pid.
+// ReadProcesses reads a pid file: one name=pid a line.
 func ReadProcesses(path string) (Processes, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -46,7 +46,7 @@
 	Terminate: syscall.SIGTERM,
 }
 
-// Signal carries a fault out on a process.
+// Signal sends the signal of the action to the named process.
 func (p Processes) Signal(name string, a Action) error {
 	pid, ok := p[name]
 	if !ok {
--- a/internal/load/profile.go
+++ b/internal/load/profile.go
@@ -1,6 +1,6 @@
-// Package load is the load and experiment tool: it offers a member's workload
-// to the proxies at the rate that the profile states, brings about faults, keeps
-// a history of the requests and checks it against what must always hold.
+// Package load implements the load and fault injection tool: it sends a member's
+// workload to the proxies at the rates of the profile, injects faults, records a
+// history of the requests and checks it against the consistency rules.
 package load
 
 import (
@@ -15,109 +15,114 @@
 type Profile struct {
 	Member  string `json:"member"`
 	Service string `json:"service"`
-	// Table holds the rows of the run, (k, v).
+	// Table is the table of the run's rows, with the columns k and v.
 	Table string `json:"table"`
-	// Proxies are the callers' addresses of the daemons, ip:port.
+	// Proxies are the addresses (ip:port) at which the daemons serve callers.
 	Proxies []string `json:"proxies"`
-	// AdminAddresses serve the daemons' metrics; without them the share of reads
-	// served by replicas is not measured.
+	// AdminAddresses are the addresses of the daemons' metrics; without them the
+	// share of reads served by replicas is not measured.
 	AdminAddresses []string `json:"admin_addresses"`
-	// PlatformURL of the platform stand-in, for its faults.
+	// PlatformURL is the URL of the platform stand-in, used to inject platform
+	// faults.
 	PlatformURL string `json:"platform_url"`
 
 	Sessions []SessionGroup `json:"sessions"`
 	Classes  []ClassLoad    `json:"classes"`
-	// VerifyClass is a read class of staleness 0: it reads the rows back at the end.
+	// VerifyClass is a read class of staleness 0, used to read the rows back at the
+	// end.
 	VerifyClass string `json:"verify_class"`
-	// OwnKeys is the number of keys that each session writes alone.
+	// OwnKeys is the number of keys per session that only this session writes.
 	OwnKeys int `json:"own_keys"`
 	// SharedKeys is the number of keys that all sessions write and read.
 	SharedKeys int `json:"shared_keys"`
-	// Counters is the number of rows that "add" requests raise.
+	// Counters is the number of rows that "add" requests increment.
 	Counters int `json:"counters"`
 
 	Duration settings.Duration `json:"duration"`
-	// WarmUp is the first part of the duration; it is checked but not measured.
+	// WarmUp is the first part of the duration; its requests are checked but not
+	// measured.
 	WarmUp settings.Duration `json:"warm_up"`
 	Seed   uint64            `json:"seed"`
-	// Multiplier scales every rate: 2 offers twice the stated load.
+	// Multiplier scales the rate of every class: 2 doubles the load.
 	Multiplier float64 `json:"multiplier"`
-	// MaxOutstanding bounds the requests that wait or run; those above it are
-	// counted as overrun and never sent.
+	// MaxOutstanding bounds the requests that wait for a session or run; arrivals
+	// above it are counted as overrun and never sent.
 	MaxOutstanding int `json:"max_outstanding"`
 	// RequestTimeout bounds one attempt of a request.
 	RequestTimeout settings.Duration `json:"request_timeout"`
-	// MaxRetries is how often a refused caller comes back; 0 never.
+	// MaxRetries is the maximum number of retries of a request.
 	MaxRetries int `json:"max_retries"`
 	// LinearKeys is the number of shared keys checked for linearizability.
 	LinearKeys int     `json:"linear_keys"`
 	Faults     []Fault `json:"faults"`
 }
 
-// SessionGroup is a number of like sessions.
+// SessionGroup is a number of sessions with the same settings.
 type SessionGroup struct {
 	Mode  Mode `json:"mode"`
 	Count int  `json:"count"`
-	// Roam is the share of requests before which a session moves to another proxy.
+	// Roam is the probability, from 0 to 1, that a session moves to another proxy
+	// before a request.
 	Roam float64 `json:"roam"`
 }
 
-// Mode tells how a session names itself.
+// Mode is how a session identifies itself to the proxies.
 type Mode string
 
 // The modes of sessions.
 const (
-	// Anonymous sessions are their connection and stay on one proxy.
+	// Anonymous sessions send no id: each lasts as long as its connection, and it
+	// does not roam.
 	Anonymous Mode = "anonymous"
-	// Roaming sessions carry an id and no token.
+	// Roaming sessions send an id and no token.
 	Roaming Mode = "roaming"
-	// RoamingToken sessions carry an id and a token.
+	// RoamingToken sessions send an id and a token.
 	RoamingToken Mode = "roaming-token"
 )
 
 // ClassLoad is the load of one request class.
 type ClassLoad struct {
 	Name string `json:"name"`
-	// Rate of arrivals in requests a second; arrivals are a Poisson process.
+	// Rate is the mean of the Poisson arrivals in requests per second.
 	Rate float64 `json:"rate"`
-	// Operations are the kinds of requests with their weights.
+	// Operations maps the operations of the requests to their relative weights.
 	Operations map[Operation]float64 `json:"operations"`
-	// Transactions is the share of put requests that run in a transaction.
+	// Transactions is the share (0 to 1) of put requests that run in a transaction.
 	Transactions float64 `json:"transactions"`
-	// ReadBack is a read class. After a completed put-own the session asks for
-	// the same key at once, through it, in the share ReadBackShare of cases. The
-	// arrivals alone seldom read a key within a replica's lag of its write, and
-	// would not find a read that ignores the session's floor.
+	// ReadBack is the read class in which a session reads a key immediately after
+	// a completed put-own to it, with the probability ReadBackShare. The arrivals
+	// alone seldom read a key within the replication lag after its write, and
+	// would not detect a read that ignores the session's floor.
 	ReadBack      string  `json:"read_back"`
 	ReadBackShare float64 `json:"read_back_share"`
-	// SQL replaces the statement: $1 is the key, $2 the value of a write. It must
-	// keep the statement's meaning, or the checks find what is not there.
+	// SQL replaces the default statement: $1 is the key, $2 the value of a write.
+	// It must have the same effect, otherwise the checks report false violations.
 	SQL string `json:"sql"`
 }
 
-// Operation is what a request does.
+// Operation is the kind of a request.
 type Operation string
 
 // The operations of requests.
 const (
-	// PutOwn writes the next higher value to a key of the session's own.
+	// PutOwn writes the session's next value to one of its own keys.
 	PutOwn Operation = "put-own"
-	// GetOwn reads a key of the session's own.
+	// GetOwn reads one of the session's own keys.
 	GetOwn Operation = "get-own"
-	// PutShared writes a value that is unique in the run to a shared key.
+	// PutShared writes a value to a shared key; the value is unique in the run.
 	PutShared Operation = "put-shared"
 	// GetShared reads a shared key.
 	GetShared Operation = "get-shared"
-	// Add raises a counter by one; for classes that may not be repeated.
+	// Add increments a counter by one; only for classes that are not repeatable.
 	Add Operation = "add"
-	// Insert inserts a row of its own; for classes that may not be repeated.
+	// Insert inserts a new row; only for classes that are not repeatable.
 	Insert Operation = "insert"
 )
 
 // Writes reports whether the operation changes a row.
 func (o Operation) Writes() bool { return o != GetOwn && o != GetShared }
 
-// Once reports whether running the operation twice does harm.
+// Once reports whether the operation must not run twice.
 func (o Operation) Once() bool { return o == Add || o == Insert }
 
 func (o Operation) known() bool {
@@ -128,7 +133,7 @@
 	return false
 }
 
-// Defaults of settings that the profile leaves out.
+// Defaults for settings that a profile omits.
 const (
 	defaultDuration       = 30 * time.Second
 	defaultRequestTimeout = 10 * time.Second
@@ -153,7 +158,7 @@
 	}
 }
 
-// ReadProfile reads a profile, JSON with comments.
+// ReadProfile reads a profile, a file of JSON with comments.
 func ReadProfile(path string) (Profile, error) {
 	p := defaultProfile()
 	if err := settings.Load(path, &p); err != nil {
@@ -162,7 +167,7 @@
 	return p, nil
 }
 
-// Check compares the profile with the configuration document.
+// Check validates the profile against the configuration.
 func (p *Profile) Check(conf *config.View) error {
 	if service, ok := conf.Service(p.Service); !ok || service.Member != p.Member {
 		return invalid("member %q has no service %q", p.Member, p.Service)
@@ -204,7 +209,7 @@
 	if len(c.Operations) == 0 {
 		return invalid("class %q has no operations", c.Name)
 	}
-	if back, ok := conf.Class(p.Service, c.ReadBack); c.ReadBack != "" && (!ok || back.Kind != config.Read) {
+	if readBack, ok := conf.Class(p.Service, c.ReadBack); c.ReadBack != "" && (!ok || readBack.Kind != config.Read) {
 		return invalid("class %q: read_back %q is not a read class", c.Name, c.ReadBack)
 	}
 	for op := range c.Operations {
--- a/internal/load/readback.go
+++ b/internal/load/readback.go
@@ -12,21 +12,21 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Patience of what goes before and after the load.
+// Timeouts and retry interval of the steps before and after the load.
 const (
-	setUpPatience    = 30 * time.Second
-	readBackPatience = 15 * time.Second
-	retryPause       = 200 * time.Millisecond
+	seedTimeout     = 30 * time.Second
+	readBackTimeout = 15 * time.Second
+	retryInterval   = 200 * time.Millisecond
 )
 
-// seedCounters inserts the counters' rows: an update of a missing row would
-// change nothing.
-func (m *memberLoad) seedCounters(ctx context.Context) error {
-	class, ok := m.onceClass()
+// insertCounters inserts the rows of the counters, since an update of a missing
+// row would change nothing.
+func (m *memberLoad) insertCounters(ctx context.Context) error {
+	class, ok := m.counterClass()
 	if !ok {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, setUpPatience)
+	ctx, cancel := context.WithTimeout(ctx, seedTimeout)
 	defer cancel()
 	s := newSession(m.profile, m.proxies, m.prefix+m.profile.Member+"-seed", SessionGroup{Mode: Roaming}, 0)
 	defer s.close()
@@ -41,14 +41,14 @@
 			if ctx.Err() != nil {
 				return errors.Newf("%s: counter %s could not be inserted: %s", m.describe(), key, a.code)
 			}
-			time.Sleep(retryPause)
+			time.Sleep(retryInterval)
 		}
 	}
 	return nil
 }
 
-// onceClass returns a class whose requests add to counters.
-func (m *memberLoad) onceClass() (string, bool) {
+// counterClass returns a class whose requests increment counters.
+func (m *memberLoad) counterClass() (string, bool) {
 	for _, c := range m.profile.Classes {
 		if c.Operations[Add] > 0 {
 			return c.Name, true
@@ -57,7 +57,7 @@
 	return "", false
 }
 
-// readBack reads every row of the run, group by group, by the verify class.
+// readBack reads every row of the run, group by group, in the verify class.
 func (m *memberLoad) readBack(ctx context.Context) Final {
 	final := Final{Values: map[string]int64{}, Unread: map[topology.GroupID]string{}}
 	for _, group := range m.run.o.Config.Groups(m.profile.Service) {
@@ -68,24 +68,24 @@
 	return final
 }
 
-func (m *memberLoad) readGroup(ctx context.Context, group topology.GroupID, into map[string]int64) error {
-	ctx, cancel := context.WithTimeout(ctx, readBackPatience)
+func (m *memberLoad) readGroup(ctx context.Context, group topology.GroupID, values map[string]int64) error {
+	ctx, cancel := context.WithTimeout(ctx, readBackTimeout)
 	defer cancel()
 	for n := 0; ; n++ {
-		err := m.tryGroup(ctx, m.profile.Proxies[n%len(m.profile.Proxies)], group, into)
+		err := m.tryReadGroup(ctx, m.profile.Proxies[n%len(m.profile.Proxies)], group, values)
 		if err == nil {
 			return nil
 		}
-		if !sleepUntil(ctx, m.run.since, m.run.since()+retryPause) {
+		if !sleepUntil(ctx, m.run.elapsed, m.run.elapsed()+retryInterval) {
 			return err
 		}
 	}
 }
 
-func (m *memberLoad) tryGroup(ctx context.Context, proxy string, group topology.GroupID, into map[string]int64) error {
+func (m *memberLoad) tryReadGroup(ctx context.Context, proxy string, group topology.GroupID, values map[string]int64) error {
 	ctx, cancel := context.WithTimeout(ctx, m.profile.RequestTimeout.Std())
 	defer cancel()
-	// The group's id is service/name; the option is the name.
+	// The id of a group is service/name; the option takes the name only.
 	name := strings.TrimPrefix(string(group), string(config.GroupID(m.profile.Service, "")))
 	conn, err := dial(ctx, proxy, map[string]string{
 		optionService: m.profile.Service,
@@ -95,9 +95,9 @@
 	if err != nil {
 		return err
 	}
-	l := &link{conn: conn}
+	pc := &proxyConn{conn: conn}
 	defer closeConn(conn)
-	res := l.query(ctx, statement(GetShared, m.profile.Table), m.prefix+m.profile.Member+"-%")
+	res := pc.query(ctx, statement(GetShared, m.profile.Table), m.prefix+m.profile.Member+"-%")
 	if res.Err != nil {
 		return res.Err
 	}
@@ -106,7 +106,7 @@
 		if err != nil {
 			return errors.Wrapf(err, "row %q", row[0])
 		}
-		into[string(row[0])] = value
+		values[string(row[0])] = value
 	}
 	return nil
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -11,11 +11,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// RunReport is what a run measured and what its checks found.
+// RunReport holds the measurements of a run and the results of its checks.
 type RunReport struct {
 	Label string    `json:"label"`
 	Begun time.Time `json:"begun"`
-	// Loaded is how long the load lasted, the last answers included.
+	// Loaded is the time from the start of the load to the last answer.
 	Loaded     time.Duration    `json:"loaded_ns"`
 	WarmUp     time.Duration    `json:"warm_up_ns"`
 	Multiplier float64          `json:"multiplier"`
@@ -28,19 +28,19 @@
 	Notes      []string         `json:"notes,omitempty"`
 }
 
-// MemberVerdicts are the checks of one member's history.
+// MemberVerdicts holds the results of the checks of one member's history.
 type MemberVerdicts struct {
 	Member   string    `json:"member"`
 	Verdicts []Verdict `json:"verdicts"`
 }
 
-// ClassReport has the figures of one class, warm-up left out.
+// ClassReport holds the figures of one class without the warm-up.
 type ClassReport struct {
 	Member string `json:"member"`
 	Class  string `json:"class"`
 	Write  bool   `json:"write"`
-	// Offered counts arrivals; Overrun those that were never sent, since too many
-	// were outstanding.
+	// Offered is the number of arrivals, Overrun the number of those that were not
+	// sent since too many requests were outstanding.
 	Offered   int            `json:"offered"`
 	Completed int            `json:"completed"`
 	NotRun    int            `json:"not_run"`
@@ -49,17 +49,18 @@
 	Codes     map[string]int `json:"codes"`
 	// PerSecond is the rate of completed requests.
 	PerSecond float64 `json:"per_second"`
-	// Latency of completed requests, Refused of all others.
+	// Latency holds the latencies of the completed requests, Refused those of all
+	// others that were sent.
 	Latency Percentiles `json:"latency"`
 	Refused Percentiles `json:"refused"`
-	// Waited is the part of the latency before the first attempt: time without a
-	// free session. Where it is large, more sessions are wanted.
+	// Waited is the part of the latency before the first attempt, when no session
+	// was free. Large values mean that the profile needs more sessions.
 	Waited Percentiles `json:"waited"`
-	// Seconds has the completed requests by second of the run.
+	// Seconds is the number of completed requests in each second of the run.
 	Seconds []int `json:"seconds"`
 }
 
-// Percentiles are latencies from the intended arrival.
+// Percentiles holds percentiles of latencies, measured from the intended arrival.
 type Percentiles struct {
 	P50  time.Duration `json:"p50_ns"`
 	P90  time.Duration `json:"p90_ns"`
@@ -75,7 +76,7 @@
 	return Percentiles{P50: at(50), P90: at(90), P99: at(99), P999: at(99.9), Max: time.Duration(h.Max()) * time.Microsecond}
 }
 
-// Violations counts the breaches that all checks found.
+// Violations returns the number of violations that all checks found.
 func (r *RunReport) Violations() int {
 	n := 0
 	for _, m := range r.Verdicts {
@@ -105,33 +106,34 @@
 		report.Classes = append(report.Classes, r.stats.classes[key].report(key, measured))
 	}
 	for n, injection := range injections {
-		if !injection.stops() {
+		if !injection.measuresGap() {
 			continue
 		}
-		at := span{start: first.WarmUp.Std(), at: injection.At, next: nextFault(injections[n+1:], loaded), end: first.Duration.Std()}
-		report.Gaps = append(report.Gaps, r.gapsOf(injection, at)...)
+		at := faultWindow{start: first.WarmUp.Std(), at: injection.At, next: nextFault(injections[n+1:], loaded), end: first.Duration.Std()}
+		report.Gaps = append(report.Gaps, r.gapsAfter(injection, at)...)
 	}
 	return report
 }
 
-// nextFault is when the next fault came that may stop writes.
+// nextFault returns when the next fault that may stop writes was injected, or end.
 func nextFault(later []Injection, end time.Duration) time.Duration {
 	for _, n := range later {
-		if n.stops() {
+		if n.measuresGap() {
 			return n.At
 		}
 	}
 	return end
 }
 
-// gapsOf measures the group that the fault hit, or every group.
-func (r *run) gapsOf(n Injection, s span) []Gap {
+// gapsAfter measures the gap of the group that the fault hit, or of every group
+// when it hit no single one.
+func (r *run) gapsAfter(n Injection, s faultWindow) []Gap {
 	var gaps []Gap
 	for _, group := range r.groupNames() {
 		if n.Group != "" && n.Group != group {
 			continue
 		}
-		g := measureGap(r.stats.writes[group], r.stats.refusal[group], s)
+		g := measureGap(r.stats.writes[group], r.stats.refusals[group], s)
 		g.Group, g.Fault = group, n.Fault
 		gaps = append(gaps, g)
 	}
@@ -178,7 +180,7 @@
 	return keys
 }
 
-// WriteJSON writes the report for comparisons.
+// WriteJSON writes the report as JSON, which ReadReport reads.
 func (r *RunReport) WriteJSON(path string) error {
 	raw, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -187,10 +189,10 @@
 	return errors.Wrap(os.WriteFile(path, raw, fileMode), "report")
 }
 
-// fileMode lets others read reports and histories.
+// fileMode is the mode of reports and histories, which every user may read.
 const fileMode = 0o644
 
-// ReadReport reads what WriteJSON wrote.
+// ReadReport reads a report that WriteJSON wrote.
 func ReadReport(path string) (*RunReport, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/load/report_test.go
+++ b/internal/load/report_test.go
@@ -25,10 +25,10 @@
 }
 
 var _ = Describe("The failover gap", func() {
-	whole := span{start: time.Second, at: 5 * time.Second, next: 10 * time.Second, end: 10 * time.Second}
+	window := faultWindow{start: time.Second, at: 5 * time.Second, next: 10 * time.Second, end: 10 * time.Second}
 
 	It("is the longest time without a completed write that ends after the fault", func() {
-		g := measureGap(seconds(4.5, 1, 2, 4.9, 7, 7.1, 9), seconds(5.2), whole)
+		g := measureGap(seconds(4.5, 1, 2, 4.9, 7, 7.1, 9), seconds(5.2), window)
 		Expect(g.Length).To(Equal(2100 * time.Millisecond))
 		Expect(g.Usual).To(Equal(2500 * time.Millisecond))
 		Expect(g.Open).To(BeFalse())
@@ -36,52 +36,52 @@
 		Expect(*g.FirstSuccess).To(Equal(2 * time.Second))
 	})
 
-	It("leaves to the next fault what began after it", func() {
-		until := whole
-		until.next = 6 * time.Second
-		g := measureGap(seconds(2, 4.9, 5.5, 8), nil, until)
+	It("does not include a gap that began after the next fault", func() {
+		untilNext := window
+		untilNext.next = 6 * time.Second
+		g := measureGap(seconds(2, 4.9, 5.5, 8), nil, untilNext)
 		Expect(g.Length).To(Equal(600 * time.Millisecond))
 		Expect(g.Open).To(BeFalse())
 	})
 
-	It("keeps what had begun well before the next fault", func() {
-		until := whole
-		until.next = 8 * time.Second
-		g := measureGap(seconds(2, 3, 4, 4.9, 9), nil, until)
+	It("includes a gap that began well before the next fault", func() {
+		untilNext := window
+		untilNext.next = 8 * time.Second
+		g := measureGap(seconds(2, 3, 4, 4.9, 9), nil, untilNext)
 		Expect(g.Length).To(Equal(4100 * time.Millisecond))
 	})
 
-	It("is open when no write completes any more", func() {
-		g := measureGap(seconds(1, 2, 3, 4), nil, span{at: 4500 * time.Millisecond, next: 20 * time.Second, end: 20 * time.Second})
+	It("is open when no write completes until the end of the load", func() {
+		g := measureGap(seconds(1, 2, 3, 4), nil, faultWindow{at: 4500 * time.Millisecond, next: 20 * time.Second, end: 20 * time.Second})
 		Expect(g.Open).To(BeTrue())
 		Expect(g.Length).To(Equal(16 * time.Second))
 		Expect(g.FirstSuccess).To(BeNil())
 	})
 })
 
-var _ = Describe("An answer's outcome", func() {
+var _ = Describe("The outcome of an attempt", func() {
 	refusal := func(state, message, hint string) error {
 		return &pgconn.PgError{Severity: "ERROR", Code: state, Message: message, Hint: hint}
 	}
-	DescribeTable("is read from the result",
-		func(err error, want answer) { Expect(classify(err)).To(Equal(want)) },
-		Entry("completed", nil, answer{outcome: Completed, code: labelOK}),
+	DescribeTable("is derived from the error",
+		func(err error, want attemptResult) { Expect(classify(err)).To(Equal(want)) },
+		Entry("completed", nil, attemptResult{outcome: Completed, code: labelOK}),
 		Entry("refused", refusal("BT100", "BTS-1100 the queue of the class is full (not run)", "retry_after_ms=250"),
-			answer{outcome: NotRun, code: "QueueFull", retryAfter: 250 * time.Millisecond}),
-		Entry("the message's effect goes before the code's", refusal("BT202", "BTS-1202 the target is in another term (unknown)", ""),
-			answer{outcome: Unknown, code: "TermRefused"}),
-		Entry("ran before", refusal("BT212", "BTS-1212 a request with this id has run (run)", ""),
-			answer{outcome: Completed, code: "AlreadyRan"}),
-		Entry("rolled back by the database", refusal("40P01", "deadlock", ""), answer{outcome: NotRun, code: "40P01"}),
-		Entry("shut down", refusal("57P01", "bye", ""), answer{outcome: Unknown, code: "57P01"}),
-		Entry("cut", errors.New("read: reset"), answer{outcome: Unknown, code: labelConnectionCut, lost: true}),
+			attemptResult{outcome: NotRun, code: "QueueFull", retryAfter: 250 * time.Millisecond}),
+		Entry("the effect in the message takes precedence over the code's", refusal("BT202", "BTS-1202 the target is in another term (unknown)", ""),
+			attemptResult{outcome: Unknown, code: "TermRefused"}),
+		Entry("ran already", refusal("BT212", "BTS-1212 a request with this id has run (run)", ""),
+			attemptResult{outcome: Completed, code: "AlreadyRan"}),
+		Entry("rolled back by the database", refusal("40P01", "deadlock", ""), attemptResult{outcome: NotRun, code: "40P01"}),
+		Entry("shut down", refusal("57P01", "bye", ""), attemptResult{outcome: Unknown, code: "57P01"}),
+		Entry("connection lost", errors.New("read: reset"), attemptResult{outcome: Unknown, code: labelConnectionLost, connLost: true}),
 	)
 })
 
 var _ = Describe("The share of replicas", func() {
 	replica, primary := readKey{"m", "c", metrics.RoleReplica}, readKey{"m", "c", metrics.RolePrimary}
 
-	It("adds up the daemons that were read both times and did not restart", func() {
+	It("adds up the daemons whose counters were read both times and that did not restart", func() {
 		before := []scrape{
 			{reads: map[readKey]int64{replica: 10, primary: 10}},
 			{reads: map[readKey]int64{replica: 50}},
@@ -92,7 +92,7 @@
 			{reads: map[readKey]int64{replica: 5}},
 			{reads: map[readKey]int64{replica: 1000}},
 		}
-		share := shareOf(before, after)
+		share := replicaShare(before, after)
 		Expect(share.Measured).To(Equal(1))
 		Expect(share.Classes).To(Equal([]ClassShare{{Member: "m", Class: "c", Replica: 30, Primary: 10}}))
 		percent, _ := share.Classes[0].Percent()
@@ -114,7 +114,7 @@
 		}
 	}
 
-	It("leaves the warm-up out and counts what was not sent", func() {
+	It("leaves the warm-up out and counts the requests that were not sent", func() {
 		c := sample("a", 10*time.Millisecond).Classes[0]
 		Expect(c.Offered).To(Equal(2))
 		Expect(c.Completed).To(Equal(1))
@@ -122,7 +122,7 @@
 		Expect(c.Latency.Max).To(BeNumerically("~", 10*time.Millisecond, 10*time.Microsecond))
 	})
 
-	It("is written as text, page and JSON, which reads back the same", func() {
+	It("is written as text, as HTML and as JSON, which reads back unchanged", func() {
 		r := sample("a", 10*time.Millisecond)
 		var text bytes.Buffer
 		Expect(r.WriteText(&text)).To(Succeed())
@@ -137,7 +137,7 @@
 		Expect(ReadReport(filepath.Join(dir, "r.json"))).To(Equal(r))
 	})
 
-	It("is compared by the medians of its label", func() {
+	It("is compared by the median of the reports with its label", func() {
 		var out bytes.Buffer
 		Expect(Compare(&out, []*RunReport{
 			sample("a", 10*time.Millisecond), sample("a", 1000*time.Millisecond), sample("a", 20*time.Millisecond),
@@ -148,7 +148,7 @@
 })
 
 var _ = Describe("The fault plan", func() {
-	It("undoes what lasts a while, in the order of time", func() {
+	It("includes the reversals of faults that have a duration, in the order of time", func() {
 		freeze, err := ParseFault("5s,freeze,vm-1,,2s")
 		Expect(err).NotTo(HaveOccurred())
 		outage, err := ParseFault("6s,platform-outage")
@@ -160,7 +160,7 @@
 		Expect(names).To(Equal([]string{"5s freeze vm-1", "6s platform-outage", "7s thaw vm-1"}))
 	})
 
-	DescribeTable("refuses what it can't carry out",
+	DescribeTable("rejects invalid faults",
 		func(text string) {
 			_, err := ParseFault(text)
 			Expect(err).To(HaveOccurred())
@@ -170,7 +170,7 @@
 		Entry("no duration", "5s,replication-delay,quota-g1-b,long"),
 	)
 
-	It("signals no process that the pid file does not name, nor a group of them", func() {
+	It("signals no process that the pid file does not name, and no process group", func() {
 		Expect(Processes{}.Signal("vm-1", Kill)).NotTo(Succeed())
 		file := filepath.Join(GinkgoT().TempDir(), "pids")
 		for _, line := range []string{"vm-1=-1", "vm-1=0", "vm-1=1", "vm-1"} {
--- a/internal/load/request.go
+++ b/internal/load/request.go
@@ -9,7 +9,7 @@
 	"github.com/jackc/pgx/v5/pgconn"
 )
 
-// statement returns the SQL of an operation on a table.
+// statement returns the default SQL of an operation on a table.
 func statement(op Operation, table string) string {
 	switch op {
 	case PutOwn, PutShared:
@@ -22,94 +22,95 @@
 	return "select k, v from " + table + " where k like $1"
 }
 
-// send runs a request to its end: it comes back after refusals as the profile
-// allows and writes the outcome into the record.
-func (s *session) send(r *Record, c ClassLoad, since func() time.Duration) {
+// send sends a request, retries it as the profile allows and writes the outcome
+// into the record.
+func (s *session) send(r *Record, c ClassLoad, elapsed func() time.Duration) {
 	s.roam()
-	r.Sent = since()
+	r.Sent = elapsed()
 	inTransaction := s.rng.Float64() < c.Transactions && (r.Operation == PutOwn || r.Operation == PutShared)
-	doubtful := false
+	mayHaveRun := false
 	for {
 		a := s.attempt(r, c, inTransaction)
 		r.Attempts++
 		r.Outcome, r.Code = a.outcome, a.code
-		doubtful = doubtful || a.outcome == Unknown
+		mayHaveRun = mayHaveRun || a.outcome == Unknown
 		if a.outcome != Completed && r.Refused == 0 {
-			r.Refused = since()
+			r.Refused = elapsed()
 		}
-		// Once no more load is offered nobody comes back: the run would end only
-		// after the last of many time-outs.
-		if !s.comesBack(r, a) || since() > s.profile.Duration.Std() {
+		// There are no retries after the end of the load: the run would last until
+		// many timeouts had passed one after the other.
+		if !s.shouldRetry(r, a) || elapsed() > s.profile.Duration.Std() {
 			break
 		}
-		// The hint is the refusing proxy's; a lost connection moves to another one.
-		if !a.lost {
+		// The retry hint applies to the proxy that refused; after a lost connection
+		// the session has switched to another one.
+		if !a.connLost {
 			time.Sleep(a.retryAfter)
 		}
 	}
-	// A refusal of the last attempt says nothing of an earlier one that may have run.
-	if doubtful && r.Outcome == NotRun {
+	// An earlier attempt may have run even though the last one was refused.
+	if mayHaveRun && r.Outcome == NotRun {
 		r.Outcome = Unknown
 	}
-	r.Done = since()
+	r.Done = elapsed()
 }
 
-// comesBack tells whether the request is sent once more. An unknown outcome is
-// asked for again only with a request id, which makes a second run fail.
-func (s *session) comesBack(r *Record, a answer) bool {
+// shouldRetry reports whether the request is sent again. A write with an unknown
+// outcome is retried only if it has a request id, which makes a second run fail.
+func (s *session) shouldRetry(r *Record, a attemptResult) bool {
 	if r.Attempts > s.profile.MaxRetries || a.outcome == Completed {
 		return false
 	}
 	if a.outcome == Unknown {
 		return r.RequestID != "" || !r.Operation.Writes()
 	}
-	return a.retryAfter > 0 || a.lost
+	return a.retryAfter > 0 || a.connLost
 }
 
-func (s *session) attempt(r *Record, c ClassLoad, inTransaction bool) answer {
+func (s *session) attempt(r *Record, c ClassLoad, inTransaction bool) attemptResult {
 	ctx, cancel := context.WithTimeout(context.Background(), s.profile.RequestTimeout.Std())
 	defer cancel()
 	r.Proxy = s.profile.Proxies[s.proxy]
-	l, err := s.link(ctx)
+	pc, err := s.proxyConn(ctx)
 	if err == nil {
-		r.Epoch = l.epoch
-		err = s.prepare(ctx, l, r)
+		r.Epoch = pc.epoch
+		err = s.setOptions(ctx, pc, r)
 	}
 	if err != nil {
 		// The request itself was not sent.
 		a := classify(err)
-		a.outcome, a.lost = NotRun, true
-		if a.code == labelClientTimeout || a.code == labelConnectionCut || a.code == labelNotSent {
+		a.outcome, a.connLost = NotRun, true
+		if a.code == labelClientTimeout || a.code == labelConnectionLost || a.code == labelNotSent {
 			a.code = labelNotConnected
 		}
-		s.dropLink()
-		s.moveOn()
+		s.dropConn()
+		s.switchProxy()
 		return a
 	}
-	a := s.exchange(ctx, l, r, c, inTransaction)
-	if a.lost {
-		s.dropLink()
-		s.moveOn()
+	a := s.execute(ctx, pc, r, c, inTransaction)
+	if a.connLost {
+		s.dropConn()
+		s.switchProxy()
 	}
 	return a
 }
 
-func (s *session) exchange(ctx context.Context, l *link, r *Record, c ClassLoad, inTransaction bool) answer {
+func (s *session) execute(ctx context.Context, pc *proxyConn, r *Record, c ClassLoad, inTransaction bool) attemptResult {
 	sql := c.SQL
 	if sql == "" {
 		sql = statement(r.Operation, s.profile.Table)
 	}
 	if inTransaction {
-		return s.transaction(ctx, l, r, sql)
+		return s.transaction(ctx, pc, r, sql)
 	}
-	res := l.query(ctx, sql, parameters(r)...)
+	res := pc.query(ctx, sql, parameters(r)...)
 	if res.Err != nil {
 		return classify(res.Err)
 	}
 	if !r.Operation.Writes() {
-		return takeRow(r, res)
+		return recordRow(r, res)
 	}
-	s.takeToken(l)
+	s.updateToken(pc)
 	return checkTag(res.CommandTag)
 }
 
@@ -120,62 +121,62 @@
 	return []string{r.Key}
 }
 
-// transaction runs the request between BEGIN and COMMIT. Before the COMMIT is
-// sent nothing can have taken effect.
-func (s *session) transaction(ctx context.Context, l *link, r *Record, sql string) answer {
+// transaction runs the request between BEGIN and COMMIT. It can't have taken
+// effect before the COMMIT is sent, so an earlier error means that it did not run.
+func (s *session) transaction(ctx context.Context, pc *proxyConn, r *Record, sql string) attemptResult {
 	for _, step := range []func() error{
-		func() error { return l.query(ctx, "begin").Err },
-		func() error { return l.query(ctx, sql, parameters(r)...).Err },
+		func() error { return pc.query(ctx, "begin").Err },
+		func() error { return pc.query(ctx, sql, parameters(r)...).Err },
 	} {
 		if err := step(); err != nil {
 			a := classify(err)
-			a.lost = true
+			a.connLost = true
 			if a.outcome == Unknown {
 				a.outcome = NotRun
 			}
 			return a
 		}
 	}
-	res := l.query(ctx, "commit")
+	res := pc.query(ctx, "commit")
 	if res.Err != nil {
 		a := classify(res.Err)
-		a.lost = true
+		a.connLost = true
 		return a
 	}
 	if res.CommandTag.String() != "COMMIT" {
-		return answer{outcome: NotRun, code: res.CommandTag.String()}
+		return attemptResult{outcome: NotRun, code: res.CommandTag.String()}
 	}
-	s.takeToken(l)
-	return answer{outcome: Completed, code: labelOK}
+	s.updateToken(pc)
+	return attemptResult{outcome: Completed, code: labelOK}
 }
 
-// labelNoRow marks a write that met no row, labelBadAnswer an answer that is not
-// a whole one.
+// labelNoRow is the label of a write that did not affect exactly one row,
+// labelBadAnswer that of a read whose answer is malformed.
 const (
 	labelNoRow     = "no-row"
 	labelBadAnswer = "bad-answer"
 )
 
-func checkTag(tag pgconn.CommandTag) answer {
+func checkTag(tag pgconn.CommandTag) attemptResult {
 	if tag.RowsAffected() != 1 {
-		return answer{outcome: NotRun, code: labelNoRow}
+		return attemptResult{outcome: NotRun, code: labelNoRow}
 	}
-	return answer{outcome: Completed, code: labelOK}
+	return attemptResult{outcome: Completed, code: labelOK}
 }
 
-// takeRow notes what a read found; the checks judge it.
-func takeRow(r *Record, res *pgconn.Result) answer {
+// recordRow writes the answer of a read into the record, for the checks.
+func recordRow(r *Record, res *pgconn.Result) attemptResult {
 	r.Value, r.AnswerKeys = 0, nil
 	for _, row := range res.Rows {
 		value, err := readRow(row)
 		if err != nil {
 			r.AnswerKeys = append(r.AnswerKeys, err.Error())
-			return answer{outcome: Completed, code: labelBadAnswer}
+			return attemptResult{outcome: Completed, code: labelBadAnswer}
 		}
 		r.Value = value
 		r.AnswerKeys = append(r.AnswerKeys, string(row[0]))
 	}
-	return answer{outcome: Completed, code: labelOK}
+	return attemptResult{outcome: Completed, code: labelOK}
 }
 
 func readRow(row [][]byte) (int64, error) {
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -19,14 +19,15 @@
 	Processes Processes
 	// Label names the run in comparisons.
 	Label string
-	// HistoryFile gets the history, one JSON object a line; optional.
+	// HistoryFile is the file that the history is written to, one JSON object a
+	// line; empty for none.
 	HistoryFile string
-	// Live gets one line a second.
+	// Live receives a line of progress every second.
 	Live io.Writer
 	Log  *slog.Logger
 }
 
-// run is one run under way.
+// run is the state of a run.
 type run struct {
 	o       Options
 	id      string
@@ -36,8 +37,8 @@
 	loads   []*memberLoad
 }
 
-// Run offers the load, brings about the faults, reads the rows back and judges.
-// The first profile's duration and warm-up hold for all.
+// Run generates the load, injects the faults, reads the rows back and checks the
+// history. The first profile's duration and warm-up apply to all profiles.
 func Run(ctx context.Context, o Options) (*RunReport, error) {
 	for i := range o.Profiles {
 		o.Profiles[i].Duration = o.Profiles[0].Duration
@@ -57,40 +58,40 @@
 		r.loads = append(r.loads, newMemberLoad(r, &o.Profiles[i]))
 	}
 	for _, m := range r.loads {
-		if err := m.seedCounters(ctx); err != nil {
+		if err := m.insertCounters(ctx); err != nil {
 			return nil, err
 		}
 	}
 	before := scrapeAll(ctx, o.Profiles)
 	r.begun = time.Now()
-	injector := newInjector(o, r.since)
+	injector := newInjector(o, r.elapsed)
 	r.offer(ctx, injector)
-	loaded := r.since()
+	loaded := r.elapsed()
 	after := scrapeAll(ctx, o.Profiles)
-	return r.conclude(ctx, injector, loaded, shareOf(before, after))
+	return r.finish(ctx, injector, loaded, replicaShare(before, after))
 }
 
-// since is the time of the run; all records use it.
-func (r *run) since() time.Duration { return time.Since(r.begun) }
+// elapsed returns the time since the start of the run, as used in all records.
+func (r *run) elapsed() time.Duration { return time.Since(r.begun) }
 
 // offer runs the load and the faults until the duration has passed and every
 // request has been answered.
 func (r *run) offer(ctx context.Context, i *injector) {
-	loading, cancel := context.WithTimeout(ctx, r.o.Profiles[0].Duration.Std())
+	loadCtx, cancel := context.WithTimeout(ctx, r.o.Profiles[0].Duration.Std())
 	defer cancel()
 	var wait sync.WaitGroup
 	for _, m := range r.loads {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			m.offer(loading)
+			m.offer(loadCtx)
 		}()
 	}
-	watching, stop := context.WithCancel(ctx)
+	watchCtx, stop := context.WithCancel(ctx)
 	var watchers sync.WaitGroup
 	for _, watch := range []func(){
-		func() { i.run(watching, r.faults()) },
-		func() { r.watch(watching) },
+		func() { i.run(watchCtx, r.faults()) },
+		func() { r.watch(watchCtx) },
 	} {
 		watchers.Add(1)
 		go func() {
@@ -99,7 +100,7 @@
 		}()
 	}
 	wait.Wait()
-	// Faults that are to be undone after the load has ended are undone now, so
+	// Faults that would be undone after the end of the load are undone now, so
 	// that the rows can be read back.
 	stop()
 	watchers.Wait()
@@ -114,7 +115,7 @@
 	return all
 }
 
-// watch prints one line a second.
+// watch prints a line with counts every second.
 func (r *run) watch(ctx context.Context) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -123,23 +124,23 @@
 		case <-ticker.C:
 			counts, slowest := r.stats.takeLive()
 			fmt.Fprintf(r.o.Live, "t=%3.0fs completed=%d not_run=%d unknown=%d slowest=%v\n",
-				r.since().Seconds(), counts[Completed], counts[NotRun], counts[Unknown], slowest.Round(time.Millisecond))
+				r.elapsed().Seconds(), counts[Completed], counts[NotRun], counts[Unknown], slowest.Round(time.Millisecond))
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (r *run) conclude(ctx context.Context, i *injector, loaded time.Duration, share ReplicaShare) (*RunReport, error) {
-	records, whole := r.history.Records()
+func (r *run) finish(ctx context.Context, i *injector, loaded time.Duration, share ReplicaShare) (*RunReport, error) {
+	records, complete := r.history.Records()
 	if r.o.HistoryFile != "" {
 		if err := WriteHistory(r.o.HistoryFile, records); err != nil {
 			return nil, err
 		}
 	}
-	report := r.report(i.done(), loaded, share)
-	if !whole {
-		report.Notes = append(report.Notes, "the history was cut; nothing was checked")
+	report := r.report(i.performed(), loaded, share)
+	if !complete {
+		report.Notes = append(report.Notes, "the history was truncated; nothing was checked")
 		return report, nil
 	}
 	for _, m := range r.loads {
--- a/internal/load/session.go
+++ b/internal/load/session.go
@@ -11,8 +11,8 @@
 	"github.com/jackc/pgx/v5/pgconn"
 )
 
-// session is one caller: it sends one request at a time, on one connection for
-// each proxy that it has visited.
+// session is one caller. It sends one request at a time and keeps a connection to
+// each proxy that it has used.
 type session struct {
 	profile *Profile
 	id      string
@@ -20,15 +20,15 @@
 	rng     *rand.Rand
 	proxies *balancer
 	proxy   int
-	links   map[int]*link
+	conns   map[int]*proxyConn
 	epoch   int
 	token   string
-	// lastOwn is the newest value that the session has tried to write.
+	// lastOwn is the last value that the session tried to write to its own keys.
 	lastOwn int64
 }
 
-// link is a connection with the options that it has in force.
-type link struct {
+// proxyConn is a connection to a proxy with the session options in effect on it.
+type proxyConn struct {
 	conn    *pgconn.PgConn
 	epoch   int
 	options map[string]string
@@ -43,35 +43,35 @@
 	optionSession   = "session"
 	optionService   = "service"
 	optionToken     = "token"
-	// anyProxy is no present proxy.
-	anyProxy = -1
-	// newToken asks a proxy for a token.
+	// noCurrentProxy makes balancer.pick choose among all proxies.
+	noCurrentProxy = -1
+	// newToken is the value of the token option that requests a new token.
 	newToken = "new"
 )
 
 func newSession(p *Profile, b *balancer, id string, g SessionGroup, seed uint64) *session {
 	rng := rand.New(rand.NewPCG(p.Seed, seed))
-	s := &session{profile: p, id: id, group: g, rng: rng, proxies: b, links: map[int]*link{}}
-	s.proxy = b.pick(rng, anyProxy, time.Now())
+	s := &session{profile: p, id: id, group: g, rng: rng, proxies: b, conns: map[int]*proxyConn{}}
+	s.proxy = b.pick(rng, noCurrentProxy, time.Now())
 	if g.Mode == RoamingToken {
 		s.token = newToken
 	}
 	return s
 }
 
-// roam moves the session to another proxy, as a balancer would.
+// roam moves the session to another proxy at random, as a load balancer would.
 func (s *session) roam() {
 	if s.group.Mode != Anonymous && s.rng.Float64() < s.group.Roam {
-		s.moveOn()
+		s.switchProxy()
 	}
 }
 
-// moveOn leaves the proxy for another one.
-func (s *session) moveOn() { s.proxy = s.proxies.pick(s.rng, s.proxy, time.Now()) }
+// switchProxy makes another proxy the current one.
+func (s *session) switchProxy() { s.proxy = s.proxies.pick(s.rng, s.proxy, time.Now()) }
 
-func (s *session) link(ctx context.Context) (*link, error) {
-	if l := s.links[s.proxy]; l != nil {
-		return l, nil
+func (s *session) proxyConn(ctx context.Context) (*proxyConn, error) {
+	if pc := s.conns[s.proxy]; pc != nil {
+		return pc, nil
 	}
 	options := map[string]string{optionService: s.profile.Service, optionClass: s.profile.VerifyClass}
 	if s.group.Mode != Anonymous {
@@ -86,12 +86,12 @@
 		return nil, err
 	}
 	s.epoch++
-	l := &link{conn: conn, epoch: s.epoch, options: options}
-	s.links[s.proxy] = l
-	return l, nil
+	pc := &proxyConn{conn: conn, epoch: s.epoch, options: options}
+	s.conns[s.proxy] = pc
+	return pc, nil
 }
 
-// dial connects with session options as start-up parameters.
+// dial connects with the session options as startup parameters.
 func dial(ctx context.Context, address string, options map[string]string) (*pgconn.PgConn, error) {
 	conf, err := pgconn.ParseConfig("postgres://load@" + address + "/load?sslmode=disable")
 	if err != nil {
@@ -104,8 +104,8 @@
 	return pgconn.ConnectConfig(ctx, conf)
 }
 
-// prepare puts the options of the next request in force.
-func (s *session) prepare(ctx context.Context, l *link, r *Record) error {
+// setOptions sets the session options that differ for the next request.
+func (s *session) setOptions(ctx context.Context, pc *proxyConn, r *Record) error {
 	wanted := []struct{ name, value string }{
 		{optionClass, r.Class},
 		{optionShardKey, r.Key},
@@ -113,67 +113,67 @@
 		{optionToken, s.token},
 	}
 	for _, w := range wanted {
-		if l.options[w.name] == w.value {
+		if pc.options[w.name] == w.value {
 			continue
 		}
-		if err := l.set(ctx, w.name, w.value); err != nil {
+		if err := pc.set(ctx, w.name, w.value); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (l *link) set(ctx context.Context, name, value string) error {
+func (pc *proxyConn) set(ctx context.Context, name, value string) error {
 	quoted := strings.ReplaceAll(value, "'", "''")
-	_, err := l.conn.Exec(ctx, fmt.Sprintf("SET %s%s = '%s'", optionPrefix, name, quoted)).ReadAll()
+	_, err := pc.conn.Exec(ctx, fmt.Sprintf("SET %s%s = '%s'", optionPrefix, name, quoted)).ReadAll()
 	if err == nil {
-		l.options[name] = value
+		pc.options[name] = value
 	}
 	return err
 }
 
-func (l *link) query(ctx context.Context, sql string, params ...string) *pgconn.Result {
+func (pc *proxyConn) query(ctx context.Context, sql string, params ...string) *pgconn.Result {
 	values := make([][]byte, len(params))
 	for i := range params {
 		values[i] = []byte(params[i])
 	}
-	return l.conn.ExecParams(ctx, sql, values, nil, nil, nil).Read()
+	return pc.conn.ExecParams(ctx, sql, values, nil, nil, nil).Read()
 }
 
-// takeToken keeps the token that an acknowledged write returned. The next
-// connection starts with it, so the floor goes where the session goes.
-func (s *session) takeToken(l *link) {
+// updateToken stores the token that an acknowledged write returned. The next
+// connection starts with it, so the session's floor applies on other proxies too.
+func (s *session) updateToken(pc *proxyConn) {
 	if s.group.Mode != RoamingToken {
 		return
 	}
-	token := l.conn.ParameterStatus(optionPrefix + optionToken)
+	token := pc.conn.ParameterStatus(optionPrefix + optionToken)
 	if token != "" && token != s.token {
 		s.token = token
-		l.options[optionToken] = token
+		pc.options[optionToken] = token
 	}
 }
 
-func (s *session) dropLink() {
-	l := s.links[s.proxy]
-	if l == nil {
+func (s *session) dropConn() {
+	pc := s.conns[s.proxy]
+	if pc == nil {
 		return
 	}
-	delete(s.links, s.proxy)
-	closeConn(l.conn)
+	delete(s.conns, s.proxy)
+	closeConn(pc.conn)
 }
 
 func (s *session) close() {
-	for _, l := range s.links {
-		closeConn(l.conn)
+	for _, pc := range s.conns {
+		closeConn(pc.conn)
 	}
-	s.links = map[int]*link{}
+	s.conns = map[int]*proxyConn{}
 }
 
-// closeTimeout bounds the farewell to a proxy that may hang.
+// closeTimeout bounds the closing handshake with a proxy that may hang.
 const closeTimeout = 200 * time.Millisecond
 
 func closeConn(c *pgconn.PgConn) {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	_ = c.Close(ctx) // The connection is given up in any case.
+	_ = c.Close(ctx) // The connection is dropped in any case.
 }
--- a/internal/load/share.go
+++ b/internal/load/share.go
@@ -11,16 +11,17 @@
 	"github.com/buckthornshore/buckthornshore/internal/metrics"
 )
 
-// ReplicaShare tells how many of the reads replicas served.
+// ReplicaShare holds the numbers of reads that replicas and primaries served.
 type ReplicaShare struct {
-	// Measured counts the daemons whose counters were read before and after.
+	// Measured is the number of daemons whose counters were read both before and
+	// after the load and that did not restart in between.
 	Measured int `json:"measured_daemons"`
 	Daemons  int `json:"daemons"`
-	// Members has the counts by member and class.
+	// Classes holds the counts by member and class.
 	Classes []ClassShare `json:"classes"`
 }
 
-// ClassShare is the share of one class.
+// ClassShare holds the numbers of reads of one class by the role of the database.
 type ClassShare struct {
 	Member  string `json:"member"`
 	Class   string `json:"class"`
@@ -28,16 +29,17 @@
 	Primary int64  `json:"primary"`
 }
 
-// Percent returns the share of replicas; false when there were no reads.
+// Percent returns the percentage of reads that replicas served; false when there
+// were no reads.
 func (c ClassShare) Percent() (float64, bool) {
-	all := c.Replica + c.Primary
-	if all == 0 {
+	total := c.Replica + c.Primary
+	if total == 0 {
 		return 0, false
 	}
-	return 100 * float64(c.Replica) / float64(all), true
+	return 100 * float64(c.Replica) / float64(total), true
 }
 
-// scrape is what one daemon's metrics said.
+// scrape holds the read counters of one daemon.
 type scrape struct {
 	address string
 	reads   map[readKey]int64
@@ -46,13 +48,14 @@
 
 type readKey struct{ member, class, role string }
 
-// scrapePause lets the daemons report what they counted last.
+// scrapePause is the wait before the counters are read, so that the daemons have
+// published the last changes.
 const (
 	scrapePause   = time.Second
 	scrapeTimeout = 2 * time.Second
 )
 
-// scrapeAll reads the daemons' counters.
+// scrapeAll reads the read counters of all daemons of the profiles.
 func scrapeAll(ctx context.Context, profiles []Profile) []scrape {
 	var out []scrape
 	seen := map[string]bool{}
@@ -97,9 +100,10 @@
 	return reads, nil
 }
 
-// shareOf adds up the differences of the daemons that answered both times. One
-// that was replaced meanwhile counts from zero again, and is left out.
-func shareOf(before, after []scrape) ReplicaShare {
+// replicaShare adds up the differences of the counters of the daemons that
+// answered both times. A daemon that restarted in between counts from zero again
+// and is left out.
+func replicaShare(before, after []scrape) ReplicaShare {
 	share := ReplicaShare{Daemons: len(after)}
 	sums := map[classKey]*ClassShare{}
 	for n := range after {
--- a/internal/load/stats.go
+++ b/internal/load/stats.go
@@ -7,17 +7,17 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of the latency histograms in microseconds.
+// Range of the latency histograms in microseconds, and their precision.
 const (
 	lowestLatency      = 1
 	highestLatency     = int64(10 * time.Minute / time.Microsecond)
 	significantFigures = 3
 )
 
-// classKey names a class of a member.
+// classKey identifies a class of a member.
 type classKey struct{ Member, Class string }
 
-// classStats is what was measured of one class.
+// classStats holds the measurements of one class.
 type classStats struct {
 	write     bool
 	completed *hdrhistogram.Histogram
@@ -30,25 +30,25 @@
 	seconds   []int // completed requests by second of the run
 }
 
-// stats gathers figures during a run. Safe for concurrent use.
+// stats collects measurements during a run. Safe for concurrent use.
 type stats struct {
 	warmUp time.Duration
 
-	mu      sync.Mutex
-	classes map[classKey]*classStats
-	live    map[Outcome]int
-	liveMax time.Duration
-	writes  map[string][]time.Duration // completions of writes by group
-	refusal map[string][]time.Duration // first refusals of writes by group
+	mu       sync.Mutex
+	classes  map[classKey]*classStats
+	live     map[Outcome]int            // requests since the last takeLive, by outcome
+	liveMax  time.Duration              // highest latency since the last takeLive
+	writes   map[string][]time.Duration // times of completed writes by group
+	refusals map[string][]time.Duration // times of the first failed attempts of writes by group
 }
 
 func newStats(warmUp time.Duration) *stats {
 	return &stats{
-		warmUp:  warmUp,
-		classes: map[classKey]*classStats{},
-		live:    map[Outcome]int{},
-		writes:  map[string][]time.Duration{},
-		refusal: map[string][]time.Duration{},
+		warmUp:   warmUp,
+		classes:  map[classKey]*classStats{},
+		live:     map[Outcome]int{},
+		writes:   map[string][]time.Duration{},
+		refusals: map[string][]time.Duration{},
 	}
 }
 
@@ -67,7 +67,8 @@
 	return c
 }
 
-// overrun counts an arrival that found too many outstanding.
+// overrun counts an arrival that is not sent since too many requests are
+// outstanding.
 func (s *stats) overrun(key classKey, at time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,8 +80,9 @@
 	c.overrun++
 }
 
-// add counts a request. Latency runs from the intended arrival: measured from
-// the sending, a stall would hide the requests that it kept from being sent.
+// add counts a request. Latency is measured from the intended arrival: if it were
+// measured from the sending, a stall would hide the delay of the requests that
+// could not be sent during it.
 func (s *stats) add(r *Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +115,7 @@
 		s.writes[group] = append(s.writes[group], r.Done)
 	}
 	if r.Refused > 0 {
-		s.refusal[group] = append(s.refusal[group], r.Refused)
+		s.refusals[group] = append(s.refusals[group], r.Refused)
 	}
 }
 
@@ -129,7 +131,8 @@
 	return min(max(d.Microseconds(), lowestLatency), highestLatency)
 }
 
-// takeLive returns the counts since the last call.
+// takeLive returns the numbers of requests by outcome and the highest latency since
+// the last call.
 func (s *stats) takeLive() (counts map[Outcome]int, slowest time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/load/text.go
+++ b/internal/load/text.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// Columns of the text tables.
+// Column layout of the text tables.
 const (
 	tabMinWidth = 2
 	tabPadding  = 2
 )
 
-func table(w io.Writer) *tabwriter.Writer {
+func newTable(w io.Writer) *tabwriter.Writer {
 	return tabwriter.NewWriter(w, tabMinWidth, 0, tabPadding, ' ', 0)
 }
 
-// WriteText writes the report for a terminal.
+// WriteText writes the report as plain text.
 func (r *RunReport) WriteText(w io.Writer) error {
 	fmt.Fprintf(w, "run %q: %v of load at %gx, warm-up %v, seed %d\n\n",
 		r.Label, r.Loaded.Round(time.Millisecond), r.Multiplier, r.WarmUp, r.Seed)
@@ -37,7 +37,7 @@
 }
 
 func (r *RunReport) writeClasses(w io.Writer) error {
-	t := table(w)
+	t := newTable(w)
 	fmt.Fprintln(t, "member\tclass\toffered\tcompleted\t/s\tnot run\tunknown\toverrun\tp50\tp90\tp99\tp99.9\tmax\twaited p99")
 	for _, c := range r.Classes {
 		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%.1f\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%s\n",
@@ -47,7 +47,7 @@
 	return t.Flush()
 }
 
-// short writes a latency with three digits or so.
+// short formats a latency with about three significant digits.
 func short(d time.Duration) string {
 	switch {
 	case d >= time.Second:
@@ -106,7 +106,7 @@
 
 func openMark(g Gap) string {
 	if g.Open {
-		return " and lasting at the end"
+		return " and still open at the end"
 	}
 	return ""
 }
