--- a/internal/load/check.go
+++ b/internal/load/check.go
@@ -50,7 +50,7 @@
 
 // CheckHistory checks a history and the rows at the end of the run against every
 // rule.
-func CheckHistory(records []Record, final Final, linearKeys int) []Verdict {
+func CheckHistory(records []Record, final FinalRows, linearKeys int) []Verdict {
 	return []Verdict{
 		checkAnswers(records),
 		checkReadOwn(records),
--- a/internal/load/check_final.go
+++ b/internal/load/check_final.go
@@ -7,20 +7,20 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Final is the content of the run's rows at the end of the run.
-type Final struct {
+// FinalRows is the content of the run's rows at the end of the run.
+type FinalRows struct {
 	Values map[string]int64
 	// Unread maps each group whose rows could not be read back to the error.
 	Unread map[topology.GroupID]string
 }
 
 // readable reports whether the group of the record's key was read back.
-func (f *Final) readable(r *Record) bool {
+func (f *FinalRows) readable(r *Record) bool {
 	_, missing := f.Unread[r.Group]
 	return !missing
 }
 
-func (f *Final) uncheckedReason() string {
+func (f *FinalRows) uncheckedReason() string {
 	if len(f.Unread) == 0 {
 		return ""
 	}
@@ -41,7 +41,7 @@
 // checkOnce finds requests of non-repeatable classes that ran twice or were lost:
 // a counter must be at least the number of completed "add" requests and at most
 // that number plus the number of those with an unknown outcome.
-func checkOnce(records []Record, final Final) Verdict {
+func checkOnce(records []Record, final FinalRows) Verdict {
 	v := Verdict{Check: CheckOnce, Unchecked: final.uncheckedReason()}
 	counters := map[string]*counterHistory{}
 	for i := range records {
@@ -73,7 +73,7 @@
 
 // checkLost finds acknowledged writes that were lost. It checks only writes of
 // classes that wait for a replica: the others may be lost with their primary.
-func checkLost(records []Record, final Final) Verdict {
+func checkLost(records []Record, final FinalRows) Verdict {
 	v := Verdict{Check: CheckLost, Unchecked: final.uncheckedReason()}
 	own := map[string]*ownKey{}
 	for i := range inSessionOrder(records) {
@@ -104,7 +104,7 @@
 	return v
 }
 
-func (v *Verdict) checkInsert(r *Record, final Final) {
+func (v *Verdict) checkInsert(r *Record, final FinalRows) {
 	if r.Outcome != Completed || !r.Waits {
 		return
 	}
@@ -116,7 +116,7 @@
 
 // checkNotRun finds requests that were refused as not run although they ran:
 // their value is in the row at the end, or a read returned it during the run.
-func checkNotRun(records []Record, final Final) Verdict {
+func checkNotRun(records []Record, final FinalRows) Verdict {
 	v := Verdict{Check: CheckNotRun, Unchecked: final.uncheckedReason()}
 	refused := map[string]map[int64]*Record{}
 	for i := range records {
--- a/internal/load/check_test.go
+++ b/internal/load/check_test.go
@@ -36,7 +36,7 @@
 	return at(start, end, Record{Operation: GetOwn, Key: "own", Value: value, AnswerKeys: []string{"own"}})
 }
 
-func final(values map[string]int64) Final { return Final{Values: values} }
+func final(values map[string]int64) FinalRows { return FinalRows{Values: values} }
 
 var _ = Describe("The check of answers", func() {
 	It("passes the requested row and an answer without rows", func() {
@@ -104,7 +104,7 @@
 	)
 
 	It("reports that a group could not be read back", func() {
-		v := checkOnce(records, Final{Unread: map[topology.GroupID]string{group: "no primary"}})
+		v := checkOnce(records, FinalRows{Unread: map[topology.GroupID]string{group: "no primary"}})
 		Expect(v.Count).To(BeZero())
 		Expect(v.Checked).To(BeZero())
 		Expect(v.Unchecked).To(ContainSubstring("no primary"))
--- a/internal/load/fault.go
+++ b/internal/load/fault.go
@@ -34,15 +34,15 @@
 
 // The actions of faults.
 const (
-	Kill             Action = "kill"
-	Freeze           Action = "freeze"
-	Thaw             Action = "thaw"
-	Terminate        Action = "term"
-	ReplicationDelay Action = "replication-delay"
-	PlatformOutage   Action = "platform-outage"
-	PlatformLatency  Action = "platform-latency"
-	PlatformLoss     Action = "platform-lost-answers"
-	PlatformHealthy  Action = "platform-healthy"
+	Kill                Action = "kill"
+	Freeze              Action = "freeze"
+	Thaw                Action = "thaw"
+	Terminate           Action = "term"
+	ReplicationDelay    Action = "replication-delay"
+	PlatformOutage      Action = "platform-outage"
+	PlatformLatency     Action = "platform-latency"
+	PlatformLostAnswers Action = "platform-lost-answers"
+	PlatformHealthy     Action = "platform-healthy"
 )
 
 // primaryPrefix marks a target that is the group's primary at the time of the
@@ -78,7 +78,7 @@
 		undo.Action = Thaw
 	case ReplicationDelay:
 		undo.Action, undo.Value = ReplicationDelay, "0s"
-	case PlatformOutage, PlatformLatency, PlatformLoss:
+	case PlatformOutage, PlatformLatency, PlatformLostAnswers:
 		undo.Action, undo.Target = PlatformHealthy, ""
 	default:
 		return Fault{}, false
@@ -104,7 +104,7 @@
 		}
 	case ReplicationDelay, PlatformLatency:
 		_, err = time.ParseDuration(f.Value)
-	case PlatformLoss:
+	case PlatformLostAnswers:
 		_, err = strconv.ParseFloat(f.Value, 64)
 	case PlatformOutage, PlatformHealthy:
 	default:
--- a/internal/load/injector.go
+++ b/internal/load/injector.go
@@ -144,7 +144,7 @@
 	case PlatformLatency:
 		d, _ := time.ParseDuration(f.Value) // Checked with the profile.
 		p.LatencyMs = uint32(d.Milliseconds())
-	case PlatformLoss:
+	case PlatformLostAnswers:
 		p.LostAnswers, _ = strconv.ParseFloat(f.Value, 64) // Checked with the profile.
 	default:
 		return nil
--- a/internal/load/profile.go
+++ b/internal/load/profile.go
@@ -122,8 +122,8 @@
 // Writes reports whether the operation changes a row.
 func (o Operation) Writes() bool { return o != GetOwn && o != GetShared }
 
-// Once reports whether the operation must not run twice.
-func (o Operation) Once() bool { return o == Add || o == Insert }
+// RunsOnce reports whether the operation must not run twice.
+func (o Operation) RunsOnce() bool { return o == Add || o == Insert }
 
 func (o Operation) known() bool {
 	switch o {
@@ -218,7 +218,7 @@
 			return invalid("class %q: no operation %q", c.Name, op)
 		case op.Writes() != (class.Kind == config.Write):
 			return invalid("class %q: operation %q does not fit a %s class", c.Name, op, class.Kind)
-		case op.Once() && class.Repeatable:
+		case op.RunsOnce() && class.Repeatable:
 			return invalid("class %q: operation %q needs a class that is not repeatable", c.Name, op)
 		}
 	}
--- a/internal/load/readback.go
+++ b/internal/load/readback.go
@@ -58,8 +58,8 @@
 }
 
 // readBack reads every row of the run, group by group, in the verify class.
-func (m *memberLoad) readBack(ctx context.Context) Final {
-	final := Final{Values: map[string]int64{}, Unread: map[topology.GroupID]string{}}
+func (m *memberLoad) readBack(ctx context.Context) FinalRows {
+	final := FinalRows{Values: map[string]int64{}, Unread: map[topology.GroupID]string{}}
 	for _, group := range m.run.o.Config.Groups(m.profile.Service) {
 		if err := m.readGroup(ctx, group, final.Values); err != nil {
 			final.Unread[group] = err.Error()
