--- a/internal/load/check_final.go
+++ b/internal/load/check_final.go
@@ -32,7 +32,8 @@
 	return notCheckedPrefix + fmt.Sprint(parts)
 }
 
-// counterHistory holds the "add" requests to one counter row.
+// counterHistory holds the number of completed "add" requests to one counter and
+// those with an unknown outcome.
 type counterHistory struct {
 	acked   int64
 	unknown []Record
--- a/internal/load/check_linear.go
+++ b/internal/load/check_linear.go
@@ -12,7 +12,7 @@
 // of concurrent requests.
 const linearTimeout = 5 * time.Second
 
-// registerInput is one operation on a key in the porcupine model.
+// registerInput is the input of one operation on a key in the porcupine model.
 type registerInput struct {
 	write bool
 	value int64
--- a/internal/load/injector.go
+++ b/internal/load/injector.go
@@ -59,7 +59,7 @@
 	return i
 }
 
-// schedule returns the faults and their reversals in the order of time.
+// schedule returns the faults and their reversals ordered by time.
 func schedule(faults []Fault) []Fault {
 	all := slices.Clone(faults)
 	for _, f := range faults {
--- a/internal/load/profile.go
+++ b/internal/load/profile.go
@@ -122,7 +122,7 @@
 // Writes reports whether the operation changes a row.
 func (o Operation) Writes() bool { return o != GetOwn && o != GetShared }
 
-// RunsOnce reports whether the operation must not run twice.
+// RunsOnce reports whether the operation must run at most once.
 func (o Operation) RunsOnce() bool { return o == Add || o == Insert }
 
 func (o Operation) known() bool {
--- a/internal/load/report_test.go
+++ b/internal/load/report_test.go
@@ -148,7 +148,7 @@
 })
 
 var _ = Describe("The fault plan", func() {
-	It("includes the reversals of faults that have a duration, in the order of time", func() {
+	It("includes the reversals of faults that have a duration, ordered by time", func() {
 		freeze, err := ParseFault("5s,freeze,vm-1,,2s")
 		Expect(err).NotTo(HaveOccurred())
 		outage, err := ParseFault("6s,platform-outage")
