--- a/cmd/bts-database/main.go
+++ b/cmd/bts-database/main.go
@@ -1,5 +1,5 @@
 // Command bts-database is a stand-in for one replicated database, for tests
-// and the load tool. It is no part of a deployment.
+// and the load tool. It is not part of a deployment.
 package main
 
 import (
@@ -41,7 +41,7 @@
 		err = db.Listen(a.Listen)
 	}
 	if err != nil {
-		log.Error("stopped", "error", err)
+		log.Error("cannot start the database", "error", err)
 		os.Exit(1)
 	}
 	stop := make(chan os.Signal, 1)
--- a/cmd/bts-gateway/main.go
+++ b/cmd/bts-gateway/main.go
@@ -1,5 +1,5 @@
-// Command bts-gateway is the daemon on the users' platform: it serves callers'
-// sessions and connects to the targets itself.
+// Command bts-gateway is the daemon that runs on the users' platform. It serves
+// callers' sessions and opens the connections to the targets itself.
 package main
 
 import (
--- a/cmd/bts-load/main.go
+++ b/cmd/bts-load/main.go
@@ -1,5 +1,5 @@
-// Command bts-load offers a member's workload to the proxies, brings about
-// faults, checks what the callers saw and reports the figures.
+// Command bts-load generates the workload of a member against the proxies,
+// injects faults, checks the results that callers received and writes a report.
 package main
 
 import (
@@ -81,7 +81,7 @@
 	if err != nil {
 		return exitFailed, err
 	}
-	if err := write(report, a); err != nil {
+	if err := writeReport(report, a); err != nil {
 		return exitFailed, err
 	}
 	if report.Violations() > 0 {
@@ -147,7 +147,7 @@
 	return nil
 }
 
-func write(r *load.RunReport, a *runArgs) error {
+func writeReport(r *load.RunReport, a *runArgs) error {
 	if err := r.WriteText(os.Stdout); err != nil {
 		return err
 	}
--- a/cmd/bts-measure/main.go
+++ b/cmd/bts-measure/main.go
@@ -1,5 +1,6 @@
-// Command bts-measure measures what a daemon costs; docs/CAPACITY.md quotes its
-// tables. It starts the programs of its own directory on loopback and ends them.
+// Command bts-measure measures the resource use of a daemon; docs/CAPACITY.md
+// quotes its tables. It starts the other programs of its own directory on
+// loopback and terminates them afterwards.
 package main
 
 import (
@@ -32,13 +33,13 @@
 	Databases *databasesArgs `arg:"subcommand:databases" help:"host stand-in databases in this process"`
 }
 
-// part is one measurement with its table.
-type part struct {
+// measurement is one measurement and the function that prints its table.
+type measurement struct {
 	name   string
 	report func(io.Writer, capacity.Programs, capacity.Plan) error
 }
 
-var parts = []part{
+var measurements = []measurement{
 	{"groups", capacity.ReportGroups},
 	{"daemons", capacity.ReportDaemons},
 	{"planned", capacity.ReportPlanned},
@@ -54,7 +55,7 @@
 	case a.Run != nil:
 		err = run(a.Run)
 	case a.Databases != nil:
-		err = databases(a.Databases.Document)
+		err = hostDatabases(a.Databases.Document)
 	default:
 		parser.Fail("a subcommand is needed")
 	}
@@ -64,7 +65,7 @@
 	}
 }
 
-func databases(file string) error {
+func hostDatabases(file string) error {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return err
@@ -83,11 +84,11 @@
 }
 
 func run(a *runArgs) error {
-	program, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	work, err := os.MkdirTemp("", "bts-measure")
+	workDir, err := os.MkdirTemp("", "bts-measure")
 	if err != nil {
 		return err
 	}
@@ -96,19 +97,20 @@
 		plan = capacity.QuickPlan()
 	}
 	plan.Repeats = a.Repeats
-	programs := capacity.Programs{Dir: filepath.Dir(program), Work: work}
-	for _, p := range parts {
-		if !wanted(a.Parts, p.name) {
+	programs := capacity.Programs{Dir: filepath.Dir(executable), Work: workDir}
+	for _, m := range measurements {
+		if !selected(a.Parts, m.name) {
 			continue
 		}
-		if err := p.report(os.Stdout, programs, plan); err != nil {
-			return fmt.Errorf("%s, logs in %s: %w", p.name, work, err)
+		if err := m.report(os.Stdout, programs, plan); err != nil {
+			return fmt.Errorf("measuring %s (logs in %s): %w", m.name, workDir, err)
 		}
 	}
-	return os.RemoveAll(work)
+	return os.RemoveAll(workDir)
 }
 
-func wanted(names []string, name string) bool {
+// selected reports whether names contains name or is empty.
+func selected(names []string, name string) bool {
 	for _, n := range names {
 		if n == name {
 			return true
--- a/cmd/bts-platform/main.go
+++ b/cmd/bts-platform/main.go
@@ -1,5 +1,5 @@
-// Command bts-platform is the platform's stand-in: table, object store and VM
-// list, in memory, for tests and the example. It is no part of a deployment.
+// Command bts-platform is an in-memory stand-in for the platform (table, object
+// store and VM list), for tests and the example. It is not part of a deployment.
 package main
 
 import (
@@ -33,7 +33,7 @@
 	}
 	log.Info("serving", "address", a.Listen)
 	if err := server.ListenAndServe(); err != nil {
-		log.Error("stopped", "error", err)
+		log.Error("the HTTP server failed", "error", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/bts-proxy/main.go
+++ b/cmd/bts-proxy/main.go
@@ -1,5 +1,5 @@
-// Command bts-proxy is the daemon: it serves callers and pools the connections
-// of the targets that fall to it.
+// Command bts-proxy is the proxy daemon. It serves callers and pools the
+// connections to the targets that are assigned to it.
 package main
 
 import (
