--- a/examples/embed/main.go
+++ b/examples/embed/main.go
@@ -1,8 +1,13 @@
-// Command embed shows the decision packages without the daemons: a document is
-// parsed, VMs choose a pooler, the holder of a primary earns the right to
-// acknowledge, a session's token carries its write to another entry, which
-// chooses a replica, and the target's queue gives the slot. Nothing is sent: the
-// example hands each message over itself, as an embedder's transport would.
+// Command embed shows how to use the decision packages without the daemons:
+//
+//   - It parses a configuration document and chooses a pooler for each target.
+//   - The holder of the primary obtains the right to acknowledge a write.
+//   - A session's token carries the position of the write to another entry.
+//   - That entry chooses a replica for a read, and the replica's queue starts the
+//     read when a slot is free.
+//
+// The example uses no network. It passes each message on by a function call
+// where an embedder would use a transport.
 package main
 
 import (
@@ -49,7 +54,7 @@
 }
 
 func run(out io.Writer) error {
-	now := mono.Time(time.Hour) // Any instant of the embedder's own clock.
+	now := mono.Time(time.Hour) // Any reading of the embedder's monotonic clock.
 	conf, err := configuration()
 	if err != nil {
 		return err
@@ -81,7 +86,8 @@
 	return config.Effective(doc, config.OrdinaryPreset)
 }
 
-// choosePoolers has vm-a choose; every VM that knows the same chooses alike.
+// choosePoolers returns the pooler that vm-a chooses for each target. Every VM
+// with the same membership evidence makes the same choice.
 func choosePoolers(conf *config.View, now mono.Time) map[topology.TargetID]topology.VMID {
 	table := membership.NewTable(vmA, now)
 	table.Observe(membership.Evidence{VM: vmB, Kind: membership.Answer, At: now})
@@ -98,7 +104,9 @@
 	return poolers
 }
 
-// acknowledge earns the right to acknowledge a write, and loses it by silence.
+// acknowledge obtains the right to acknowledge a write and confirms that the
+// write may be acknowledged. It then shows that the right ends when heartbeats
+// stay unanswered for longer than the lease.
 func acknowledge(out io.Writer, row *topology.Group, now mono.Time) error {
 	options := authority.DefaultOptions()
 	holder := authority.NewHolder(vmA, options)
@@ -121,13 +129,14 @@
 		return failure
 	}
 	fmt.Fprintf(out, "the write may be acknowledged for %v\n", right.Until.Sub(now))
-	silence := options.Lease + time.Second
-	failure = holder.Confirm(right, false, now.Add(silence))
-	fmt.Fprintf(out, "after %v without an answer it may not: %v\n", silence, failure != nil)
+	unanswered := options.Lease + time.Second
+	failure = holder.Confirm(right, false, now.Add(unanswered))
+	fmt.Fprintf(out, "after %v without an answer it may not: %v\n", unanswered, failure != nil)
 	return nil
 }
 
-// roam carries a session's write to another entry by its token.
+// roam records a write in a session, opens the session at another entry with its
+// token, and returns the position that a read must see there.
 func roam(row *topology.Group, write position.Position) (position.Position, error) {
 	ring, err := session.NewKeyRing(1, map[session.KeyID][]byte{1: make([]byte, session.MinKeyLength)})
 	if err != nil {
@@ -150,20 +159,22 @@
 	return floor.Position, err
 }
 
-// Settings of the example's freshness.
+// Samples older than maxSampleAge are dropped. Thinning of the others makes the
+// shown age of a target's data at most ageResolution worse.
 const (
-	keptAge    = time.Minute
-	resolution = time.Second
+	maxSampleAge  = time.Minute
+	ageResolution = time.Second
 )
 
-// read chooses a target for a read and waits for its slot.
+// read chooses a target for a read and queues two requests for that target, which
+// has one slot.
 func read(out io.Writer, conf *config.View, row *topology.Group, floor position.Position, now mono.Time) error {
-	fresh := routing.NewFreshness(keptAge, resolution)
-	fresh.SetGroup(row)
-	fresh.AddSample(routing.Sample{Begun: now, Position: floor})
-	fresh.Learn("db-b", floor, now)
+	freshness := routing.NewFreshness(maxSampleAge, ageResolution)
+	freshness.SetGroup(row)
+	freshness.AddSample(routing.Sample{Begun: now, Position: floor})
+	freshness.Learn("db-b", floor, now)
 	class, _ := conf.Class("s", "overview")
-	choice, err := routing.Choose(now, routing.Request{Staleness: class.Staleness.Std(), Floor: floor}, fresh,
+	choice, err := routing.Choose(now, routing.Request{Staleness: class.Staleness.Std(), Floor: floor}, freshness,
 		[]routing.Candidate{{Target: "db-a", Primary: true}, {Target: "db-b", SameDC: true}}, rand.New(rand.NewPCG(1, 1)))
 	if err != nil {
 		return err
--- a/examples/embed/main_test.go
+++ b/examples/embed/main_test.go
@@ -2,7 +2,7 @@
 
 import "os"
 
-// The example's output is fixed: no clock and no unseeded chance is used.
+// The output is deterministic: run reads no clock and seeds its random sources.
 func Example() {
 	if err := run(os.Stdout); err != nil {
 		panic(err)
