--- a/internal/standin/database/sqlparse/data.go
+++ b/internal/standin/database/sqlparse/data.go
@@ -55,7 +55,7 @@
 	return p.condition(SelectValue, "where k =")
 }
 
-// condition reads a table, the given words and the operand after them.
+// condition parses a table name, the given words and an operand.
 func (p *parser) condition(kind Kind, words string) (*Statement, error) {
 	table, err := p.table()
 	if err != nil {
@@ -176,7 +176,7 @@
 	return &Statement{Kind: Set, Name: name, Text: op.Literal}, err
 }
 
-func (p *parser) named(kind Kind) (*Statement, error) {
+func (p *parser) variable(kind Kind) (*Statement, error) {
 	name, err := p.dottedName("a variable name")
 	return &Statement{Kind: kind, Name: name}, err
 }
--- a/internal/standin/database/sqlparse/lexer.go
+++ b/internal/standin/database/sqlparse/lexer.go
@@ -16,7 +16,7 @@
 	tokenSymbol
 )
 
-// token is one lexical element; start and end are its offsets in the source.
+// token is a lexical token; start and end are its byte offsets in the source.
 type token struct {
 	kind  tokenKind
 	text  string
@@ -68,20 +68,20 @@
 	case c == '"':
 		return l.quoted('"', tokenWord)
 	case isLetter(c):
-		tok := l.run(tokenWord, 0, isWordByte)
+		tok := l.scanWhile(tokenWord, 0, isWordByte)
 		tok.text = strings.ToLower(tok.text)
 		return tok, nil
 	case isDigit(c):
-		return l.run(tokenNumber, 0, isNumberByte), nil
+		return l.scanWhile(tokenNumber, 0, isNumberByte), nil
 	case c == '$' && l.pos+1 < len(l.src) && isDigit(l.src[l.pos+1]):
-		return l.run(tokenParam, 1, isDigit), nil
+		return l.scanWhile(tokenParam, 1, isDigit), nil
 	case strings.HasPrefix(l.src[l.pos:], "::"):
 		return l.symbol(2), nil
 	}
 	return l.symbol(1), nil
 }
 
-// skipBlank passes over white space and comments to the end of a line.
+// skipBlank skips white space and -- comments.
 func (l *lexer) skipBlank() {
 	for l.pos < len(l.src) {
 		switch {
@@ -100,11 +100,12 @@
 	}
 }
 
-// run reads a token of bytes that fit; the first skip bytes are not its text.
-func (l *lexer) run(kind tokenKind, skip int, fits func(byte) bool) token {
+// scanWhile reads a token that consists of skip bytes, which are left out of its
+// text, and of the bytes after them for which matches returns true.
+func (l *lexer) scanWhile(kind tokenKind, skip int, matches func(byte) bool) token {
 	start := l.pos
 	l.pos += skip
-	for l.pos < len(l.src) && fits(l.src[l.pos]) {
+	for l.pos < len(l.src) && matches(l.src[l.pos]) {
 		l.pos++
 	}
 	return token{kind: kind, text: l.src[start+skip : l.pos], start: start, end: l.pos}
@@ -116,7 +117,7 @@
 	return token{kind: tokenSymbol, text: l.src[start:l.pos], start: start, end: l.pos}
 }
 
-// quoted reads a token in quotes; a doubled quote stands for itself.
+// quoted reads a quoted token; a doubled quote is an escaped quote.
 func (l *lexer) quoted(quote byte, kind tokenKind) (token, error) {
 	start := l.pos
 	var text strings.Builder
--- a/internal/standin/database/sqlparse/parser.go
+++ b/internal/standin/database/sqlparse/parser.go
@@ -5,7 +5,8 @@
 	"strings"
 )
 
-// maxParams is the protocol's own bound: counts travel as 16 bits.
+// maxParams is the limit of the protocol, which sends the number of parameters in
+// 16 bits.
 const maxParams = 65535
 
 type parser struct {
@@ -15,8 +16,8 @@
 	params int
 }
 
-// Parse reads the statements of src, separated by semicolons. Empty statements
-// are left out; if nothing remains the result is empty.
+// Parse parses the statements of src, separated by semicolons. Empty statements
+// are omitted; the result may be empty.
 func Parse(src string) ([]*Statement, error) {
 	tokens, err := tokenize(src)
 	if err != nil {
@@ -65,7 +66,8 @@
 
 func (p *parser) acceptWord(text string) bool { return p.accept(tokenWord, text) }
 
-// expect takes the given sequence of words and symbols, separated by blanks.
+// expect consumes the words and symbols in sequence, which are separated by blanks,
+// or returns an error.
 func (p *parser) expect(sequence string) error {
 	for _, want := range strings.Fields(sequence) {
 		tok := p.advance()
@@ -86,7 +88,7 @@
 func (p *parser) statement() (*Statement, error) {
 	p.params = 0
 	first := p.peek()
-	stmt, err := p.body()
+	stmt, err := p.statementBody()
 	if err != nil {
 		return nil, err
 	}
@@ -100,7 +102,7 @@
 	return stmt, nil
 }
 
-func (p *parser) body() (*Statement, error) {
+func (p *parser) statementBody() (*Statement, error) {
 	tok := p.advance()
 	if tok.kind != tokenWord {
 		return nil, p.unexpected(tok, "a statement")
@@ -128,9 +130,9 @@
 	case "set":
 		return p.set()
 	case "show":
-		return p.named(Show)
+		return p.variable(Show)
 	case "reset":
-		return p.named(Reset)
+		return p.variable(Reset)
 	case "discard":
 		return &Statement{Kind: DiscardAll}, p.expect("all")
 	case "bts":
@@ -146,8 +148,8 @@
 	}
 }
 
-// transaction reads the rest of BEGIN, COMMIT or ROLLBACK. The modes of a
-// transaction are accepted and ignored: there is one isolation level.
+// transaction parses the rest of BEGIN, COMMIT or ROLLBACK. Transaction modes are
+// ignored, since there is only one isolation level.
 func (p *parser) transaction(kind Kind) (*Statement, error) {
 	if kind != Begin {
 		if !p.acceptWord("transaction") {
@@ -185,7 +187,7 @@
 	return Operand{Param: n}, nil
 }
 
-// castOperand reads an operand and an optional ::type after it.
+// castOperand parses an operand and an optional ::type after it, which is ignored.
 func (p *parser) castOperand() (Operand, error) {
 	op, err := p.operand()
 	if err != nil {
@@ -199,7 +201,7 @@
 	return op, nil
 }
 
-// table reads a table name, with an optional schema.
+// table parses a table name with an optional schema.
 func (p *parser) table() (string, error) {
 	return p.dottedName("a table name")
 }
--- a/internal/standin/database/sqlparse/parser_test.go
+++ b/internal/standin/database/sqlparse/parser_test.go
@@ -15,7 +15,7 @@
 }
 
 var _ = Describe("Parse", func() {
-	It("reads quotes, comments and several statements", func() {
+	It("parses quotes, comments and several statements", func() {
 		stmts, err := sqlparse.Parse("-- one;\nUPDATE \"T\" set V = 'it''s;' where k = -5;; select $2::text")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(stmts).To(HaveLen(2))
@@ -33,7 +33,7 @@
 		Expect(stmts[0].Text).To(Equal("BTS FOLLOW 3 db-a.1 127.0.0.1:7000"))
 	})
 
-	DescribeTable("refuses what it does not know", func(sql string) {
+	DescribeTable("returns an error for unsupported or malformed SQL", func(sql string) {
 		_, err := sqlparse.Parse(sql)
 		Expect(err).To(HaveOccurred())
 	},
--- a/internal/standin/database/sqlparse/statement.go
+++ b/internal/standin/database/sqlparse/statement.go
@@ -1,10 +1,10 @@
-// Package sqlparse reads the subset of SQL that the database stand-in speaks.
+// Package sqlparse reads the subset of SQL that the stand-in database supports.
 package sqlparse
 
-// Kind tells what a statement does.
+// Kind is the kind of a statement.
 type Kind int
 
-// The statements of the subset.
+// Kinds of statements.
 const (
 	Empty Kind = iota
 	SelectValue
@@ -27,10 +27,10 @@
 	Control
 )
 
-// OnConflict tells what an insert does when the key exists.
+// OnConflict is the behaviour of an insert when the key exists.
 type OnConflict int
 
-// The choices of an insert.
+// Behaviours of an insert on conflict.
 const (
 	ConflictFails OnConflict = iota
 	ConflictUpdates
@@ -43,15 +43,15 @@
 	Literal string
 }
 
-// Statement is one parsed statement. Fields that its kind does not use are zero.
+// Statement is a parsed statement. Fields that its kind does not use are zero.
 type Statement struct {
 	Kind       Kind
 	Table      string
-	Key        Operand // also the pattern of LIKE, the seconds of pg_sleep and the echoed value
+	Key        Operand // key, LIKE pattern, seconds of pg_sleep or echoed value
 	Value      Operand
 	OnConflict OnConflict
-	Name       string // of the variable of Set, Show and Reset
-	Text       string // the value of Set; the whole text of Control
+	Name       string // variable of Set, Show and Reset
+	Text       string // value of Set, or whole text of Control
 	Params     int    // highest parameter number
 }
 
