--- a/internal/standin/database/batchqueue.go
+++ b/internal/standin/database/batchqueue.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// timedBatch is a batch and when it came.
+// timedBatch is a batch with the time of its receipt.
 type timedBatch struct {
 	replicationBatch
-	at time.Time
+	receivedAt time.Time
 }
 
-// batchQueue holds batches that wait for the replication delay. It has no
-// bound: a receiver that stopped to wait for room would no longer answer
-// heartbeats, the primary would drop the connection and the queue with it, and
-// with a long delay nothing would ever be applied.
+// batchQueue holds received batches until the replication delay has passed. It
+// is unbounded: a receiver blocked on a full queue would not answer heartbeats,
+// so the primary would close the connection, the queue would be lost and, with
+// a long delay, no batch would ever be applied.
 type batchQueue struct {
 	mu    sync.Mutex
 	items []timedBatch
@@ -36,7 +36,8 @@
 	}
 }
 
-// pop waits for the oldest batch; false when ctx ends. It serves one goroutine.
+// pop waits for the oldest batch and removes it. It returns false when ctx ends.
+// Only one goroutine may call it.
 func (q *batchQueue) pop(ctx context.Context) (timedBatch, bool) {
 	for {
 		if b, ok := q.take(); ok {
--- a/internal/standin/database/bench_test.go
+++ b/internal/standin/database/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/buckthornshore/buckthornshore/internal/standin/database"
 )
 
-// BenchmarkStatements measures statements without statement time: half reads,
-// half writes, on one connection and on as many as a database takes.
+// BenchmarkStatements measures the statement rate with a statement time of 0:
+// half reads, half writes, on 1 connection and on 16, the default limit.
 func BenchmarkStatements(b *testing.B) {
 	for _, connections := range []int{1, 16} {
 		b.Run(fmt.Sprintf("connections=%d", connections), func(b *testing.B) {
--- a/internal/standin/database/config.go
+++ b/internal/standin/database/config.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Config says how a database behaves.
+// Config holds the settings of a database.
 type Config struct {
 	ID               string
 	DataCentre       string
-	Slots            int           // statements that run at once
-	Connections      int           // ordinary connections at once
-	ConnectTime      time.Duration // what a new connection costs
+	Slots            int           // maximum number of concurrent statements
+	Connections      int           // maximum number of concurrent ordinary connections
+	ConnectTime      time.Duration // delay added to the set-up of a connection
 	StatementTime    time.Duration // how long a statement holds its slot
-	ReplicationDelay time.Duration // between receipt and applying of an entry
-	DataFile         string        // keeps log, term and role over a restart; may be empty
+	ReplicationDelay time.Duration // from the receipt of an entry until it is applied
+	DataFile         string        // path of the file that persists log, term and role; empty for none
 	Log              *slog.Logger
 }
 
-// withDefaults fills in what must not be zero.
+// withDefaults sets the fields that must not be zero.
 func (c Config) withDefaults() Config {
 	if c.Slots <= 0 {
 		c.Slots = 2
--- a/internal/standin/database/conn.go
+++ b/internal/standin/database/conn.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	// startupTimeout bounds how long a connection may take to say who it is.
+	// startupTimeout limits the time until a connection has sent its start-up message.
 	startupTimeout = 10 * time.Second
-	// maxMessage bounds what one message may cost in memory: a length made
-	// of garbage bytes would otherwise reserve gigabytes.
-	maxMessage   = 16 << 20
-	receiveAhead = 64
-	secretLength = 4
+	// maxMessage is the maximum size of a message body in bytes: a length read
+	// from garbage would otherwise allocate gigabytes.
+	maxMessage    = 16 << 20
+	receiveBuffer = 64
+	secretLength  = 4
 )
 
-// conn is one connection. A goroutine of its own reads ahead, so that a closed
-// connection is noticed while a statement runs.
+// conn is one connection. A separate goroutine reads its messages ahead, so that
+// a closed connection is detected while a statement runs.
 type conn struct {
 	db      *Database
 	nc      net.Conn
 	be      *pgproto3.Backend
 	pid     uint32
 	secret  []byte
-	counted bool // holds a place of the connection limit; guarded by db.connMu
+	counted bool // counts towards the connection limit; guarded by db.connMu
 	control bool
 
 	ctx    context.Context
@@ -42,25 +42,25 @@
 	// committed is the newest commit since ready was last sent.
 	committed position.Position
 
-	mu        sync.Mutex
-	cancelOne context.CancelCauseFunc
+	mu         sync.Mutex
+	cancelStmt context.CancelCauseFunc
 }
 
 func newConn(d *Database, nc net.Conn, pid uint32) *conn {
 	secret := make([]byte, secretLength)
 	_, err := rand.Read(secret)
-	invariant(err == nil, "no randomness: %v", err)
+	invariant(err == nil, "cannot read random bytes: %v", err)
 	c := &conn{
 		db: d, nc: nc, pid: pid, secret: secret,
 		be:   pgproto3.NewBackend(nc, nc),
-		msgs: make(chan pgproto3.FrontendMessage, receiveAhead),
+		msgs: make(chan pgproto3.FrontendMessage, receiveBuffer),
 	}
 	c.be.SetMaxBodyLen(maxMessage)
 	c.ctx, c.stop = context.WithCancelCause(context.Background())
 	return c
 }
 
-// abort ends the connection at once; a running statement fails with cause.
+// abort closes the connection at once; a running statement fails with cause.
 func (c *conn) abort(cause error) {
 	c.stop(cause)
 	c.nc.Close()
@@ -92,7 +92,7 @@
 	newSession(c, start.Parameters).run()
 }
 
-// readAll hands the messages over until the connection ends.
+// readAll passes the received messages to msgs until the connection ends.
 func (c *conn) readAll() {
 	for {
 		msg, err := c.be.Receive()
@@ -108,7 +108,8 @@
 	}
 }
 
-// cloneMessage copies what the backend uses again for the next message.
+// cloneMessage copies a message, since the backend reuses its memory for the next
+// one.
 func cloneMessage(msg pgproto3.FrontendMessage) pgproto3.FrontendMessage {
 	switch m := msg.(type) {
 	case *pgproto3.Query:
@@ -160,14 +161,15 @@
 	}
 }
 
-// receiveWithin is receive with a time-out.
+// receiveWithin is receive with a timeout, after which it aborts the connection.
 func (c *conn) receiveWithin(timeout time.Duration) (pgproto3.FrontendMessage, bool) {
 	timer := time.AfterFunc(timeout, func() { c.abort(errClosed) })
 	defer timer.Stop()
 	return c.receive()
 }
 
-// peek returns the next message and leaves it in place; nil at the end.
+// peek returns the next message without consuming it, or nil when the connection
+// is over.
 func (c *conn) peek() pgproto3.FrontendMessage {
 	if c.peeked == nil {
 		c.peeked, _ = c.receive()
@@ -180,14 +182,14 @@
 
 func (c *conn) flush() error { return c.be.Flush() }
 
-// fatal reports an error that ends the connection.
+// fatal sends an error that ends the connection.
 func (c *conn) fatal(err error) {
 	c.send(responseTo(err, "FATAL"))
-	// The client may be gone already; there is nobody else to tell.
+	// A failure is ignored: the client may have disconnected already.
 	_ = c.flush()
 }
 
-// statementContext returns a context that a cancel request ends.
+// statementContext returns a context that a cancel request cancels.
 func (c *conn) statementContext() (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(c.ctx)
 	c.setCancel(cancel)
@@ -200,20 +202,20 @@
 func (c *conn) setCancel(cancel context.CancelCauseFunc) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cancelOne = cancel
+	c.cancelStmt = cancel
 }
 
 // running reports whether the connection runs a statement.
 func (c *conn) running() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.cancelOne != nil
+	return c.cancelStmt != nil
 }
 
 func (c *conn) cancelStatement() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.cancelOne != nil {
-		c.cancelOne(errCanceled)
+	if c.cancelStmt != nil {
+		c.cancelStmt(errCanceled)
 	}
 }
--- a/internal/standin/database/control.go
+++ b/internal/standin/database/control.go
@@ -19,7 +19,7 @@
 	{"active", oidText},
 }
 
-// activeList writes the process ids with commas between them.
+// activeList returns the process ids of Active, separated by commas.
 func (st *Status) activeList() string {
 	words := make([]string, 0, len(st.Active))
 	for _, pid := range st.Active {
@@ -55,8 +55,8 @@
 	return &result{columns: statusColumns, rows: [][]*string{row}, tag: "SHOW"}, nil
 }
 
-// controlStatement runs a BTS statement. FENCE, PROMOTE and FOLLOW answer the
-// status as it is afterwards.
+// controlStatement runs a BTS statement. FENCE, PROMOTE and FOLLOW return the
+// resulting status.
 func (s *session) controlStatement(text string) (*result, error) {
 	if err := s.requireControl(); err != nil {
 		return nil, err
@@ -78,7 +78,8 @@
 	return nil, sqlError(CodeSyntax, "unknown control statement %q", text)
 }
 
-// terminate ends a connection; one that has gone already is no error.
+// terminate closes a connection; it is no error if the connection is closed
+// already.
 func (s *session) terminate(pid, secret string) error {
 	n, err := strconv.ParseUint(pid, 10, 32)
 	if err != nil {
--- a/internal/standin/database/data.go
+++ b/internal/standin/database/data.go
@@ -9,10 +9,10 @@
 	"github.com/buckthornshore/buckthornshore/internal/standin/database/sqlparse"
 )
 
-// data runs a statement that reads or writes: the row's lock first, then a
-// slot. The other order would let a waiter for a lock keep a slot from the
-// transaction that holds the lock.
-func (s *session) data(ctx context.Context, stmt *sqlparse.Statement, args []*string, last bool) (*result, error) {
+// dataStatement runs a statement that reads or writes data. It takes the row
+// lock before a slot; in the other order, a statement waiting for a lock could
+// occupy the slot that the lock's owner needs to commit.
+func (s *session) dataStatement(ctx context.Context, stmt *sqlparse.Statement, args []*string, last bool) (*result, error) {
 	if err := s.checkData(stmt); err != nil {
 		return nil, err
 	}
@@ -24,11 +24,11 @@
 		if s.txn == nil {
 			s.txn = s.db.beginTxn(true)
 		}
-		res, _, err := s.step(ctx, s.txn, op, false)
+		res, _, err := s.runInTxn(ctx, s.txn, op, false)
 		return res, err
 	}
 	t := s.db.beginTxn(true)
-	res, entry, err := s.step(ctx, t, op, true)
+	res, entry, err := s.runInTxn(ctx, t, op, true)
 	if err != nil {
 		s.db.rollback(t)
 		return nil, err
@@ -43,36 +43,37 @@
 		return err
 	}
 	if s.txn != nil && s.txn.ended {
-		return s.lostErrorLocked()
+		return s.termChangedErrorLocked()
 	}
 	return nil
 }
 
-// step runs one statement in t and, if commits, commits t in the same slot.
-func (s *session) step(ctx context.Context, t *txn, op operation, commits bool) (*result, *Entry, error) {
+// runInTxn runs one statement in t. If commits is set, it also commits t while it
+// holds the same slot.
+func (s *session) runInTxn(ctx context.Context, t *txn, op operation, commits bool) (*result, *Entry, error) {
 	if op.stmt.Writes() && op.key != nil {
 		if err := s.db.lockRow(ctx, t, rowKey{op.stmt.Table, *op.key}); err != nil {
 			return nil, nil, err
 		}
 	}
-	if err := s.takeSlot(ctx); err != nil {
+	if err := s.acquireSlot(ctx); err != nil {
 		return nil, nil, err
 	}
-	defer s.giveSlot()
-	if err := s.hold(ctx, op.sleep); err != nil {
+	defer s.releaseSlot()
+	if err := s.waitStatementTime(ctx, op.sleep); err != nil {
 		return nil, nil, err
 	}
 	s.db.mu.Lock()
 	defer s.db.mu.Unlock()
-	return s.stepLocked(t, op, commits)
+	return s.runInTxnLocked(t, op, commits)
 }
 
-func (s *session) stepLocked(t *txn, op operation, commits bool) (*result, *Entry, error) {
+func (s *session) runInTxnLocked(t *txn, op operation, commits bool) (*result, *Entry, error) {
 	if err := s.checkLocked(op.stmt.Writes()); err != nil {
 		return nil, nil, err
 	}
 	if t.ended {
-		return nil, nil, s.lostErrorLocked()
+		return nil, nil, s.termChangedErrorLocked()
 	}
 	res, err := s.db.applyLockedOperation(t, op)
 	if err != nil || !commits {
@@ -82,7 +83,7 @@
 	return res, entry, err
 }
 
-// operation is a statement with its operands; nil is NULL.
+// operation is a statement with the values of its operands; nil is NULL.
 type operation struct {
 	stmt  *sqlparse.Statement
 	key   *string
@@ -105,7 +106,7 @@
 	return op, nil
 }
 
-// maxSleep keeps the conversion to a duration from overflowing.
+// maxSleep prevents an overflow in the conversion to a time.Duration.
 const maxSleep = 24 * time.Hour
 
 func bindOperand(op sqlparse.Operand, args []*string) *string {
@@ -152,7 +153,7 @@
 	return rowsOf(op.stmt, []*string{&v})
 }
 
-func (d *Database) matching(t *txn, op operation) []string {
+func (d *Database) matchingKeys(t *txn, op operation) []string {
 	if op.key == nil {
 		return nil
 	}
@@ -161,7 +162,7 @@
 
 func (d *Database) selectRows(t *txn, op operation) *result {
 	res := rowsOf(op.stmt)
-	for _, key := range d.matching(t, op) {
+	for _, key := range d.matchingKeys(t, op) {
 		v, _ := d.getLocked(t, rowKey{op.stmt.Table, key})
 		res.rows = append(res.rows, []*string{&key, &v})
 	}
@@ -170,7 +171,7 @@
 }
 
 func (d *Database) selectCount(t *txn, op operation) *result {
-	n := strconv.Itoa(len(d.matching(t, op)))
+	n := strconv.Itoa(len(d.matchingKeys(t, op)))
 	return rowsOf(op.stmt, []*string{&n})
 }
 
@@ -217,17 +218,17 @@
 	return tagOnly("DELETE 1")
 }
 
-func add(old string, by *string) (string, error) {
-	if by == nil {
+func add(old string, increment *string) (string, error) {
+	if increment == nil {
 		return "", sqlError(CodeNull, "null value violates not-null constraint")
 	}
 	a, err := strconv.ParseInt(old, 10, 64)
 	if err != nil {
 		return "", sqlError(CodeBadNumber, "invalid input syntax for type bigint: %q", old)
 	}
-	b, err := strconv.ParseInt(*by, 10, 64)
+	b, err := strconv.ParseInt(*increment, 10, 64)
 	if err != nil {
-		return "", sqlError(CodeBadNumber, "invalid input syntax for type bigint: %q", *by)
+		return "", sqlError(CodeBadNumber, "invalid input syntax for type bigint: %q", *increment)
 	}
 	if b > 0 && a > math.MaxInt64-b || b < 0 && a < math.MinInt64-b {
 		return "", sqlError(CodeOutOfRange, "bigint out of range")
--- a/internal/standin/database/database.go
+++ b/internal/standin/database/database.go
@@ -13,10 +13,10 @@
 	"github.com/buckthornshore/buckthornshore/pkg/position"
 )
 
-// Role is what a database does in its term.
+// Role is the role of a database in its term.
 type Role string
 
-// The roles.
+// Roles of a database.
 const (
 	RoleUnassigned Role = "unassigned"
 	RolePrimary    Role = "primary"
@@ -24,7 +24,7 @@
 	RoleFenced     Role = "fenced"
 )
 
-// Database is the stand-in. Safe for concurrent use.
+// Database is a stand-in database. It is safe for concurrent use.
 type Database struct {
 	cfg   Config
 	slots *slots
@@ -48,27 +48,27 @@
 	// role or the term changes.
 	changed chan struct{}
 	file    *os.File
-	stopped bool // no follower may be started any more
-	// following is the follower of the current role, if it has one.
+	stopped bool // set by Close; no follower is started afterwards
+	// following replicates from the primary; nil unless the role is replica.
 	following *follower
 
-	connMu   sync.Mutex
-	listener net.Listener
-	conns    map[uint32]*conn
-	nextPID  uint32
-	ordinary int
-	closed   bool
-	wg       sync.WaitGroup
+	connMu        sync.Mutex
+	listener      net.Listener
+	conns         map[uint32]*conn
+	nextPID       uint32
+	ordinaryConns int
+	closed        bool
+	wg            sync.WaitGroup
 }
 
-// endpoint names a database and where it listens.
+// endpoint is the id and the address of a database.
 type endpoint struct {
 	ID      string `json:"id"`
 	Address string `json:"address"`
 }
 
-// New returns a database that does not serve yet. With a data file, it has the
-// log, term and role that the file holds.
+// New returns a database that does not listen yet. Log, term and role are read
+// from the data file if there is one.
 func New(cfg Config) (*Database, error) {
 	cfg = cfg.withDefaults()
 	d := &Database{
@@ -93,7 +93,7 @@
 	return d, nil
 }
 
-// Listen opens the address and serves it until Close.
+// Listen listens on the address and serves connections until Close.
 func (d *Database) Listen(address string) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -109,14 +109,14 @@
 	return nil
 }
 
-// Address returns where the database listens.
+// Address returns the address on which the database listens.
 func (d *Database) Address() string {
 	d.connMu.Lock()
 	defer d.connMu.Unlock()
 	return d.listener.Addr().String()
 }
 
-// Close cuts all connections and waits until nothing runs any more.
+// Close closes all connections and waits until all goroutines have ended.
 func (d *Database) Close() {
 	d.mu.Lock()
 	d.stopped = true
@@ -143,18 +143,18 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			// Out of descriptors, for example: without a pause the loop
-			// would spin and starve the connections that could end.
-			time.Sleep(acceptPause)
+			// The process may be out of file descriptors. Without a pause the
+			// loop would spin and starve the connections that could end.
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		d.start(nc)
+		d.startConn(nc)
 	}
 }
 
-const acceptPause = 10 * time.Millisecond
+const acceptRetryDelay = 10 * time.Millisecond
 
-func (d *Database) start(nc net.Conn) {
+func (d *Database) startConn(nc net.Conn) {
 	d.connMu.Lock()
 	defer d.connMu.Unlock()
 	if d.closed {
@@ -168,31 +168,31 @@
 	go func() {
 		defer d.wg.Done()
 		c.serve()
-		d.forget(c)
+		d.removeConn(c)
 	}()
 }
 
-func (d *Database) forget(c *conn) {
+func (d *Database) removeConn(c *conn) {
 	d.connMu.Lock()
 	defer d.connMu.Unlock()
 	delete(d.conns, c.pid)
 	if c.counted {
-		d.ordinary--
+		d.ordinaryConns--
 	}
 }
 
-// admit takes a place of the connection limit.
+// admit counts c towards the connection limit or refuses it.
 func (d *Database) admit(c *conn) error {
 	if d.rejecting.Load() {
 		return sqlError(CodeNotNow, "the database rejects connections")
 	}
 	d.connMu.Lock()
 	defer d.connMu.Unlock()
-	if d.ordinary >= d.cfg.Connections {
+	if d.ordinaryConns >= d.cfg.Connections {
 		d.cfg.Log.Warn("connection refused", "event", "connection_refused", "id", d.cfg.ID, "limit", d.cfg.Connections)
 		return sqlError(CodeTooManyClients, "sorry, too many clients already")
 	}
-	d.ordinary++
+	d.ordinaryConns++
 	c.counted = true
 	return nil
 }
@@ -218,8 +218,8 @@
 	}
 }
 
-// terminate ends the connection with this pid; the secret, in hexadecimal, tells
-// it from one of another start.
+// terminate closes the connection with this pid and secret (in hexadecimal). The
+// secret distinguishes it from a connection that had the pid before a restart.
 func (d *Database) terminate(pid uint32, secret string) {
 	d.connMu.Lock()
 	defer d.connMu.Unlock()
@@ -228,7 +228,7 @@
 	}
 }
 
-// signalLocked wakes all who wait for a change.
+// signalLocked wakes all goroutines that wait on changed.
 func (d *Database) signalLocked() {
 	close(d.changed)
 	d.changed = make(chan struct{})
--- a/internal/standin/database/doc.go
+++ b/internal/standin/database/doc.go
@@ -1,13 +1,13 @@
 // Package database is a stand-in for one replicated database: a key-value
-// store with transactions, terms and log shipping, spoken over the PostgreSQL
-// protocol. It serves the tests and the load tool and is no part of a
+// store with transactions, terms and log shipping that speaks the PostgreSQL
+// protocol. It is used by the tests and the load tool and is not part of a
 // deployment.
 //
-// Data statements and COMMIT hold a slot while they run; BEGIN, ROLLBACK, SET,
-// SHOW, RESET and DISCARD ALL need none and are allowed in any term, but for
-// BEGIN, so that a connection can always be cleaned and bound anew.
+// Data statements and COMMIT hold a slot while they run. BEGIN, ROLLBACK, SET,
+// SHOW, RESET and DISCARD ALL need no slot and, except for BEGIN, run in any
+// term, so that a connection can always be reset and bound to another term.
 //
-// A connection started with buckthornshore.control=on also takes:
+// A connection started with buckthornshore.control=on also accepts:
 //
 //	SHOW buckthornshore.status
 //	BTS FENCE term
@@ -17,5 +17,5 @@
 //	BTS SET statement_time duration
 //	BTS SET reject_connections on|off
 //
-// SHOW, FENCE, PROMOTE and FOLLOW answer the status row.
+// SHOW, FENCE, PROMOTE and FOLLOW return the status row.
 package database
--- a/internal/standin/database/errors.go
+++ b/internal/standin/database/errors.go
@@ -13,10 +13,10 @@
 // Code is an SQLSTATE.
 type Code string
 
-// The SQLSTATEs that a database answers.
+// SQLSTATEs that a database returns.
 const (
-	CodeTermRefused       Code = "BT202" // not run: the database is in another term
-	CodeNotReplicated     Code = "BT208" // committed, but not held by the replicas in time
+	CodeTermRefused       Code = "BT202" // the statement was not run: the database is fenced or in another term
+	CodeNotReplicated     Code = "BT208" // committed, but not acknowledged by the replicas in time
 	CodeProtocol          Code = "08P01"
 	CodeUnsupported       Code = "0A000"
 	CodeBadNumber         Code = "22P02"
@@ -40,7 +40,7 @@
 	CodeInternal          Code = "XX000"
 )
 
-// SQLError is an error with its SQLSTATE, as it goes to the client.
+// SQLError is an error with its SQLSTATE, as it is sent to the client.
 type SQLError struct {
 	Code    Code
 	Message string
@@ -58,7 +58,7 @@
 	errClosed   = &SQLError{Code: CodeShutdown, Message: "connection closed"}
 )
 
-// contextError returns why ctx ended.
+// contextError returns the reason for which ctx ended.
 func contextError(ctx context.Context) error {
 	var sql *SQLError
 	if errors.As(context.Cause(ctx), &sql) {
@@ -67,7 +67,7 @@
 	return errClosed
 }
 
-// responseTo turns any error into the message for the client.
+// responseTo converts an error to the message sent to the client.
 func responseTo(err error, severity string) *pgproto3.ErrorResponse {
 	var sql *SQLError
 	var syntax *sqlparse.Error
--- a/internal/standin/database/execute.go
+++ b/internal/standin/database/execute.go
@@ -6,8 +6,8 @@
 	"github.com/buckthornshore/buckthornshore/internal/standin/database/sqlparse"
 )
 
-// execute runs one statement. last tells that the batch ends after it, so that
-// a statement outside BEGIN commits before its completion is reported.
+// execute runs one statement. last is set for the last statement of a batch: an
+// implicit transaction is then committed before the completion is reported.
 func (s *session) execute(stmt *sqlparse.Statement, args []*string, last bool) (*result, error) {
 	ctx, done := s.conn.statementContext()
 	defer done()
@@ -46,10 +46,10 @@
 	case sqlparse.Control:
 		return s.controlStatement(stmt.Text)
 	}
-	return s.data(ctx, stmt, args, last)
+	return s.dataStatement(ctx, stmt, args, last)
 }
 
-// failedError is the answer to a statement in a failed transaction.
+// failedError returns the error for a statement in a failed transaction.
 func (s *session) failedError() error {
 	if err := s.checkTerm(); err != nil {
 		return err
@@ -63,8 +63,9 @@
 	return s.checkLocked(false)
 }
 
-// checkLocked refuses what must not run: the database is fenced, in another
-// term than the connection is bound to, or has no right to write.
+// checkLocked returns an error if a statement must not run: the database is
+// fenced or not in the term that the connection is bound to, or the statement
+// writes and the database is not the primary or the session is read only.
 func (s *session) checkLocked(writes bool) error {
 	d := s.db
 	switch {
@@ -102,7 +103,7 @@
 	if s.txn != nil {
 		s.db.rollback(s.txn)
 	}
-	s.txn, s.failed, s.lostTerm = nil, false, false
+	s.txn, s.failed, s.termChanged = nil, false, false
 	return tagOnly("ROLLBACK")
 }
 
@@ -119,38 +120,39 @@
 	return tagOnly("COMMIT"), nil
 }
 
-// commitFailed ends a transaction that was rolled back. If a change of term
-// did it, the COMMIT is refused: a plain ROLLBACK would pass for the caller's
-// own doing.
+// commitFailed ends a transaction that was rolled back. After a rollback by a
+// change of term it returns an error: the command tag ROLLBACK alone would look
+// like the result of an error of the caller's own.
 func (s *session) commitFailed() (*result, error) {
 	err := s.checkTerm()
-	if err == nil && s.lostTerm {
+	if err == nil && s.termChanged {
 		s.db.mu.Lock()
-		err = s.lostErrorLocked()
+		err = s.termChangedErrorLocked()
 		s.db.mu.Unlock()
 	}
 	return s.rollback(), err
 }
 
-func (s *session) lostErrorLocked() error {
+func (s *session) termChangedErrorLocked() error {
 	return sqlError(CodeTermRefused, "transaction was rolled back by a change of term: connection is bound to %s, database is %s in term %d",
 		s.boundTo(), s.db.role, s.db.term)
 }
 
-// commitOpen commits the open transaction, which is over whatever happens.
+// commitOpen commits the open transaction. The transaction is over even if the
+// commit fails.
 func (s *session) commitOpen(ctx context.Context) error {
 	t := s.txn
 	s.txn = nil
-	if err := s.takeSlot(ctx); err != nil {
+	if err := s.acquireSlot(ctx); err != nil {
 		s.db.rollback(t)
 		return err
 	}
-	err := s.hold(ctx, 0)
+	err := s.waitStatementTime(ctx, 0)
 	var entry *Entry
 	if err == nil {
 		entry, err = s.commitNow(t)
 	}
-	s.giveSlot()
+	s.releaseSlot()
 	if err != nil {
 		s.db.rollback(t)
 		return err
@@ -164,35 +166,36 @@
 	return s.commitLocked(t)
 }
 
-// commitLocked appends the writes of t as one entry; nil if there are none.
+// commitLocked appends the writes of t to the log as one entry and returns it, or
+// nil if there are none.
 func (s *session) commitLocked(t *txn) (*Entry, error) {
 	d := s.db
 	if err := s.checkLocked(len(t.order) > 0); err != nil {
 		return nil, err
 	}
 	if t.ended {
-		return nil, s.lostErrorLocked()
+		return nil, s.termChangedErrorLocked()
 	}
 	if len(t.order) == 0 {
 		d.endTxnLocked(t)
 		return nil, nil
 	}
-	e := Entry{Term: d.term, Index: uint64(len(d.entries)) + 1, Writes: t.list()}
+	e := Entry{Term: d.term, Index: uint64(len(d.entries)) + 1, Writes: t.orderedWrites()}
 	d.appendLocked(e)
 	s.conn.committed = e.Position()
 	d.endTxnLocked(t)
 	return &e, nil
 }
 
-// takeSlot waits for a slot; control connections need none.
-func (s *session) takeSlot(ctx context.Context) error {
+// acquireSlot waits for a slot; control connections need none.
+func (s *session) acquireSlot(ctx context.Context) error {
 	if s.conn.control {
 		return nil
 	}
 	return s.db.slots.acquire(ctx)
 }
 
-func (s *session) giveSlot() {
+func (s *session) releaseSlot() {
 	if !s.conn.control {
 		s.db.slots.release()
 	}
--- a/internal/standin/database/export_test.go
+++ b/internal/standin/database/export_test.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// NewSlots and the methods below open the slots to the tests.
+// NewSlots and the methods below export slots for tests.
 var NewSlots = newSlots
 
 func (s *slots) Acquire(ctx context.Context) error { return s.acquire(ctx) }
@@ -21,5 +21,5 @@
 	return len(s.waiters)
 }
 
-// Like opens the matching of patterns to the tests.
+// Like exports like for tests.
 var Like = like
--- a/internal/standin/database/extended.go
+++ b/internal/standin/database/extended.go
@@ -12,7 +12,7 @@
 	types []uint32
 }
 
-// portal is a prepared statement with its parameters.
+// portal is a prepared statement with the values of its parameters.
 type portal struct {
 	*prepared
 	args    []*string
@@ -37,14 +37,14 @@
 	if s.skipping {
 		return true
 	}
-	if err := s.extendedStep(msg); err != nil {
+	if err := s.handleExtended(msg); err != nil {
 		s.conn.send(responseTo(err, "ERROR"))
 		s.skipping = true
 	}
 	return true
 }
 
-func (s *session) extendedStep(msg pgproto3.FrontendMessage) error {
+func (s *session) handleExtended(msg pgproto3.FrontendMessage) error {
 	var err error
 	switch m := msg.(type) {
 	case *pgproto3.Parse:
@@ -56,7 +56,7 @@
 	case *pgproto3.Close:
 		s.closeObject(m)
 	case *pgproto3.Execute:
-		return s.executePortal(m) // execute itself rolls back
+		return s.executePortal(m) // execute rolls back by itself
 	default:
 		err = sqlError(CodeProtocol, "unexpected message %T", msg)
 	}
@@ -66,7 +66,7 @@
 	return err
 }
 
-// sync ends a batch; the transaction of a batch without BEGIN is committed.
+// sync ends a batch and commits its implicit transaction, if there is one.
 func (s *session) sync() {
 	s.skipping = false
 	if s.txn != nil && s.txn.implicit {
@@ -167,7 +167,7 @@
 		s.conn.send(&pgproto3.EmptyQueryResponse{})
 		return nil
 	}
-	// The completion must come after the commit, which may fail. So a
+	// The completion must be sent after the commit, which may fail, so a
 	// statement right before Sync commits at once.
 	_, last := s.conn.peek().(*pgproto3.Sync)
 	res, err := s.execute(p.stmt, p.args, last)
--- a/internal/standin/database/file.go
+++ b/internal/standin/database/file.go
@@ -12,7 +12,7 @@
 	"github.com/buckthornshore/buckthornshore/pkg/position"
 )
 
-// fileRecord is one line of the data file; one field is set.
+// fileRecord is one line of the data file. Exactly one field is set.
 type fileRecord struct {
 	Entry *Entry      `json:"entry,omitempty"`
 	Cut   *cutRecord  `json:"cut,omitempty"`
@@ -37,8 +37,9 @@
 	return out
 }
 
-// saveLocked appends records with one write, before they take effect. A
-// database that cannot write stops: going on would acknowledge what is lost.
+// saveLocked appends records to the data file with one write, before they take
+// effect. If the write fails the program stops, since it would otherwise
+// acknowledge commits that a restart loses.
 func (d *Database) saveLocked(records ...fileRecord) {
 	if d.file == nil {
 		return
@@ -60,39 +61,41 @@
 func (d *Database) openFile(path string) error {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_APPEND, 0o600)
 	if err != nil {
-		return errors.Wrap(err, "data file")
+		return errors.Wrap(err, "opening the data file")
 	}
-	whole, err := d.replay(f)
+	completeLength, err := d.replay(f)
 	if err == nil {
-		// A kill in the middle of a write leaves half a line. It was never
-		// acknowledged; left in place it would spoil the record after it.
-		err = f.Truncate(whole)
+		// A process killed during a write leaves an incomplete line. Its record
+		// was never acknowledged; if the line stayed, the next record would be
+		// appended to it and be unreadable.
+		err = f.Truncate(completeLength)
 	}
 	if err != nil {
-		return errors.CombineErrors(errors.Wrap(err, "data file"), f.Close())
+		return errors.CombineErrors(errors.Wrap(err, "reading the data file"), f.Close())
 	}
 	d.file = f
 	return nil
 }
 
-// replay reads all whole lines and returns their length.
+// replay restores the records of all complete lines and returns the length of
+// these lines in bytes.
 func (d *Database) replay(f io.Reader) (int64, error) {
 	r := bufio.NewReader(f)
-	var whole int64
+	var completeLength int64
 	for {
 		line, err := r.ReadBytes('\n')
 		if errors.Is(err, io.EOF) {
-			return whole, nil
+			return completeLength, nil
 		}
 		if err != nil {
 			return 0, err
 		}
 		var rec fileRecord
 		if err := json.Unmarshal(line, &rec); err != nil {
-			return 0, errors.Wrapf(err, "at byte %d", whole)
+			return 0, errors.Wrapf(err, "decoding the record at byte %d", completeLength)
 		}
 		d.restore(rec)
-		whole += int64(len(line))
+		completeLength += int64(len(line))
 	}
 }
 
@@ -115,7 +118,7 @@
 	defer d.mu.Unlock()
 	if d.file != nil {
 		if err := d.file.Close(); err != nil {
-			d.cfg.Log.Error("data file", "event", "file_close_failed", "error", err)
+			d.cfg.Log.Error("closing the data file failed", "event", "file_close_failed", "error", err)
 		}
 		d.file = nil
 	}
--- a/internal/standin/database/follower.go
+++ b/internal/standin/database/follower.go
@@ -12,12 +12,13 @@
 )
 
 const (
-	followRetry = 100 * time.Millisecond
-	delayStep   = 10 * time.Millisecond
+	followRetryDelay  = 100 * time.Millisecond
+	delayPollInterval = 10 * time.Millisecond
 )
 
-// follower keeps a replica up to date with its primary. What it cannot reach
-// or read never touches the replica's state, which goes on serving reads.
+// follower replicates the log of the primary to a replica. If it cannot reach
+// the primary or decode its messages, the replica's state is unchanged and still
+// serves reads.
 type follower struct {
 	db       *Database
 	term     uint64
@@ -31,20 +32,20 @@
 		if ctx.Err() != nil {
 			return
 		}
-		f.db.cfg.Log.Debug("replication broken", "event", "replication_broken", "id", f.db.cfg.ID,
+		f.db.cfg.Log.Debug("replication connection failed", "event", "replication_broken", "id", f.db.cfg.ID,
 			"primary", f.upstream.ID, "error", err)
 		select {
-		case <-time.After(followRetry):
+		case <-time.After(followRetryDelay):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// stream is one connection to the primary.
+// stream replicates over one connection to the primary until it ends.
 func (f *follower) stream(parent context.Context) error {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
-	dialer := net.Dialer{Timeout: replicationSilence}
+	dialer := net.Dialer{Timeout: replicationTimeout}
 	nc, err := dialer.DialContext(ctx, "tcp", f.upstream.Address)
 	if err != nil {
 		return err
@@ -101,14 +102,14 @@
 		if !ok {
 			continue
 		}
-		b := timedBatch{at: time.Now()}
+		b := timedBatch{receivedAt: time.Now()}
 		if err := json.Unmarshal(data.Data, &b.replicationBatch); err != nil {
-			return errors.Wrap(err, "batch")
+			return errors.Wrap(err, "decoding a replication batch")
 		}
 		if b.Common == nil && len(b.Entries) == 0 {
-			// The answer to a heartbeat does not queue behind entries that
-			// wait for the replication delay: the primary would take the
-			// silence for a broken connection.
+			// A heartbeat is answered at once, ahead of entries queued for the
+			// replication delay. Otherwise the primary would time out and close
+			// the connection.
 			if err := f.acknowledge(link); err != nil {
 				return err
 			}
@@ -121,7 +122,7 @@
 func (f *follower) applyAll(ctx context.Context, link *followerLink, received *batchQueue) {
 	for {
 		b, ok := received.pop(ctx)
-		if !ok || !f.awaitDelay(ctx, b.at) || !f.apply(b.replicationBatch) {
+		if !ok || !f.awaitDelay(ctx, b.receivedAt) || !f.apply(b.replicationBatch) {
 			return
 		}
 		if f.acknowledge(link) != nil {
@@ -130,7 +131,8 @@
 	}
 }
 
-// awaitDelay waits in steps, because the delay may be changed meanwhile.
+// awaitDelay waits until the replication delay has passed since received. It
+// polls, because the delay may be changed meanwhile.
 func (f *follower) awaitDelay(ctx context.Context, received time.Time) bool {
 	for {
 		delay := time.Duration(f.db.replicationDelay.Load())
@@ -139,16 +141,16 @@
 			return ctx.Err() == nil
 		}
 		select {
-		case <-time.After(min(left, delayStep)):
+		case <-time.After(min(left, delayPollInterval)):
 		case <-ctx.Done():
 			return false
 		}
 	}
 }
 
-// apply adds the entries of a batch to the log. It refuses after the database
-// has got another role: entries of an old primary that were still on their way
-// would otherwise land behind the promotion.
+// apply adds the entries of a batch to the log. It returns false if f is no
+// longer the database's follower: entries still in flight from an old primary
+// would otherwise be appended after a promotion.
 func (f *follower) apply(b replicationBatch) bool {
 	d := f.db
 	d.mu.Lock()
@@ -176,7 +178,7 @@
 }
 
 // followerLink is the replica's end of a replication connection. One goroutine
-// receives; several may send.
+// may receive; several may send.
 type followerLink struct {
 	nc net.Conn
 	mu sync.Mutex
@@ -184,7 +186,7 @@
 }
 
 func (l *followerLink) flush() error {
-	if err := l.nc.SetWriteDeadline(time.Now().Add(replicationSilence)); err != nil {
+	if err := l.nc.SetWriteDeadline(time.Now().Add(replicationTimeout)); err != nil {
 		return err
 	}
 	return l.fe.Flush()
@@ -197,9 +199,9 @@
 	return l.flush()
 }
 
-// receive returns the next message; an ErrorResponse is an error.
+// receive returns the next message. It returns an ErrorResponse as an error.
 func (l *followerLink) receive() (pgproto3.BackendMessage, error) {
-	if err := l.nc.SetReadDeadline(time.Now().Add(replicationSilence)); err != nil {
+	if err := l.nc.SetReadDeadline(time.Now().Add(replicationTimeout)); err != nil {
 		return nil, err
 	}
 	msg, err := l.fe.Receive()
--- a/internal/standin/database/forwarder_test.go
+++ b/internal/standin/database/forwarder_test.go
@@ -9,27 +9,27 @@
 	. "github.com/onsi/gomega"
 )
 
-// forwarder carries connections to an address until they are silenced; then
-// they stay open and carry nothing.
+// forwarder forwards connections to an address. Silenced connections stay open
+// but deliver nothing.
 type forwarder struct {
 	listener   net.Listener
-	to         string
+	target     string
 	generation atomic.Int64
 }
 
-func newForwarder(to string) *forwarder {
+func newForwarder(target string) *forwarder {
 	GinkgoHelper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(l.Close)
-	f := &forwarder{listener: l, to: to}
+	f := &forwarder{listener: l, target: target}
 	go f.run()
 	return f
 }
 
 func (f *forwarder) address() string { return f.listener.Addr().String() }
 
-// silence mutes the connections of now; later ones work.
+// silence stops delivery on the open connections; later ones work.
 func (f *forwarder) silence() { f.generation.Add(1) }
 
 func (f *forwarder) run() {
@@ -38,19 +38,19 @@
 		if err != nil {
 			return
 		}
-		out, err := net.Dial("tcp", f.to)
+		out, err := net.Dial("tcp", f.target)
 		if err != nil {
 			in.Close()
 			continue
 		}
 		generation := f.generation.Load()
-		go f.carry(in, out, generation)
-		go f.carry(out, in, generation)
+		go f.forward(in, out, generation)
+		go f.forward(out, in, generation)
 	}
 }
 
-func (f *forwarder) carry(from, to net.Conn, generation int64) {
-	// The end of one side is not passed on after the silence began.
+func (f *forwarder) forward(from, to net.Conn, generation int64) {
+	// After silence, a close of one side is not forwarded either.
 	defer func() {
 		if f.generation.Load() == generation {
 			to.Close()
--- a/internal/standin/database/invariant.go
+++ b/internal/standin/database/invariant.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// invariant stops the program when a condition that must always hold does not.
+// invariant panics with the formatted message if holds is false.
 func invariant(holds bool, format string, args ...any) {
 	if !holds {
 		panic("database stand-in: invariant broken: " + fmt.Sprintf(format, args...))
--- a/internal/standin/database/like.go
+++ b/internal/standin/database/like.go
@@ -1,11 +1,11 @@
 package database
 
-// like reports whether s matches a pattern of LIKE: % stands for any text, _
-// for one byte, a backslash takes the next byte literally.
+// like reports whether s matches a LIKE pattern: % matches any text, _ matches
+// one byte, and a backslash escapes the next byte.
 //
-// Only the newest % is ever tried again. That is enough, since an earlier one
-// could only take text that the newest can take as well, and it keeps a
-// pattern of many % from holding the database for minutes.
+// Backtracking retries only the most recent %. That is sufficient, since an
+// earlier one could only match text that the most recent one can match as well,
+// and it prevents a pattern with many % from blocking the database for minutes.
 func like(pattern, s string) bool {
 	retryPattern, retryText := -1, 0
 	p, i := 0, 0
@@ -32,8 +32,8 @@
 	return p == len(pattern)
 }
 
-// likeByte matches one byte with the start of the pattern and returns how much
-// of the pattern it took.
+// likeByte matches c against the start of the pattern. width is the number of
+// pattern bytes that it consumed.
 func likeByte(pattern string, c byte) (width int, ok bool) {
 	switch {
 	case pattern == "":
--- a/internal/standin/database/limits_test.go
+++ b/internal/standin/database/limits_test.go
@@ -14,8 +14,8 @@
 )
 
 var _ = Describe("Limits", func() {
-	// The third caller gets 53300 while two are connected, and a place as
-	// soon as one has left. Control connections do not count.
+	// With a limit of two, the third caller gets 53300 until another connection
+	// closes. Control connections do not count towards the limit.
 	It("refuses connections beyond the limit", func() {
 		db := startPrimary(database.Config{ID: "a", Connections: 2})
 		first := connect(db)
@@ -30,7 +30,7 @@
 		}).Should(Succeed())
 	})
 
-	It("rejects connections when told so", func() {
+	It("rejects connections while reject_connections is on", func() {
 		db := startPrimary(database.Config{ID: "a"})
 		ctl := control(db)
 		run(ctl, "BTS SET reject_connections on")
@@ -40,8 +40,8 @@
 		connect(db)
 	})
 
-	// The third caller waits while two sleepers hold the slots; one of them
-	// is cancelled, and the waiter runs. A control connection needs no slot.
+	// The third statement waits while two pg_sleep statements hold the slots and
+	// runs once one of them is cancelled. A control connection needs no slot.
 	It("runs as many statements at once as there are slots", func() {
 		db := startPrimary(database.Config{ID: "a", Slots: 2})
 		sleeper, codes := connect(db), make(chan string, 2)
@@ -60,9 +60,9 @@
 		Eventually(codes).Should(Receive(Equal("57014")))
 	})
 
-	// The other caller must not notice anything: a port scanner or a broken
-	// client sends bytes that are no messages, and only its own connection ends.
-	It("takes no harm from garbage", func() {
+	// A port scanner or a faulty client sends bytes that are not protocol
+	// messages. Only its own connection may end; others are not affected.
+	It("closes only the connection that sends garbage", func() {
 		db := startPrimary(database.Config{ID: "a", Connections: 4})
 		c := connect(db)
 		startUp := "\x00\x00\x00\x10\x00\x03\x00\x00user\x00u\x00\x00"
@@ -83,10 +83,10 @@
 })
 
 var _ = Describe("Data file", func() {
-	// A caller finds its data after a crash: the process died in the middle
-	// of a write, so the file ends with half a line, which was never
-	// acknowledged. The restart cuts it off and goes on in its term and role.
-	It("keeps log, term and role over a restart", func() {
+	// A process killed during a write leaves an incomplete last line in the data
+	// file, which was never acknowledged. A restart truncates it and keeps the
+	// data, term and role.
+	It("keeps log, term and role across a restart", func() {
 		cfg := database.Config{ID: "a", DataFile: filepath.Join(GinkgoT().TempDir(), "data")}
 		db := startPrimary(cfg)
 		run(connect(db), "insert into t (k, v) values ('x', '1')")
@@ -108,7 +108,7 @@
 		}
 	})
 
-	It("goes on following after a restart", func() {
+	It("resumes replication after a restart", func() {
 		primary := startPrimary(database.Config{ID: "a"})
 		cfg := database.Config{ID: "b", DataFile: filepath.Join(GinkgoT().TempDir(), "data")}
 		replica := start(cfg)
@@ -120,7 +120,7 @@
 		Eventually(replica.Position).Should(Equal(primary.Position()))
 	})
 
-	It("loses all without one", func() {
+	It("starts unassigned after a restart without a data file", func() {
 		db := startPrimary(database.Config{ID: "a"})
 		db.Close()
 		Expect(start(database.Config{ID: "a"}).Status().Role).To(Equal(database.RoleUnassigned))
--- a/internal/standin/database/locks.go
+++ b/internal/standin/database/locks.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// lockTimeout is how long a transaction waits for a key before it gives up.
-// Transactions that wait for each other are broken up by it.
+// lockTimeout is the maximum time that a transaction waits for a row lock. It
+// also resolves deadlocks.
 const lockTimeout = 2 * time.Second
 
-// rowKey names one row of one table.
+// rowKey identifies a row of a table.
 type rowKey struct {
 	table string
 	key   string
@@ -25,11 +25,11 @@
 	waiters []*lockWaiter
 }
 
-// lockTable holds the write locks of the rows. The store's mutex guards it.
+// lockTable holds the write locks of the rows. It is guarded by Database.mu.
 type lockTable map[rowKey]*rowLock
 
-// lockRow waits until t owns the write lock of key. It must not be called with
-// a slot held.
+// lockRow waits until t owns the write lock of key. The caller must not hold a
+// slot.
 func (d *Database) lockRow(ctx context.Context, t *txn, key rowKey) error {
 	d.mu.Lock()
 	lock, ok := d.locks[key]
@@ -61,13 +61,13 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.locks.leave(key, w)
+	d.locks.removeWaiter(key, w)
 	return err
 }
 
-// leave takes a waiter out of the queue. If the lock was handed over at the
-// same moment it stays with the transaction, whose rollback releases it.
-func (l lockTable) leave(key rowKey, w *lockWaiter) {
+// removeWaiter removes a waiter from the queue. If the lock was granted to it
+// meanwhile, the transaction keeps the lock until its rollback releases it.
+func (l lockTable) removeWaiter(key rowKey, w *lockWaiter) {
 	lock, ok := l[key]
 	if !ok {
 		return
@@ -80,7 +80,7 @@
 	}
 }
 
-// releaseAll gives every lock of t to its first waiter.
+// releaseAll releases the locks of t and grants each to its first waiter.
 func (l lockTable) releaseAll(t *txn) {
 	for _, key := range t.locked {
 		lock := l[key]
@@ -100,7 +100,8 @@
 	t.locked = nil
 }
 
-// clear drops all locks and wakes all waiters, whose transactions are over.
+// clear removes all locks and wakes all waiters. The caller has ended all
+// transactions.
 func (l lockTable) clear() {
 	for key, lock := range l {
 		for _, w := range lock.waiters {
--- a/internal/standin/database/log.go
+++ b/internal/standin/database/log.go
@@ -2,7 +2,7 @@
 
 import "github.com/buckthornshore/buckthornshore/pkg/position"
 
-// Write is one changed row of an entry.
+// Write is one row change of an entry.
 type Write struct {
 	Table  string `json:"t"`
 	Key    string `json:"k"`
@@ -10,14 +10,14 @@
 	Delete bool   `json:"d,omitempty"`
 }
 
-// Entry is what one commit changed.
+// Entry is a log entry: the changes of one commit.
 type Entry struct {
 	Term   uint64  `json:"term"`
 	Index  uint64  `json:"index"`
 	Writes []Write `json:"writes,omitempty"`
 }
 
-// Position is where the entry stands in the log.
+// Position returns the position of the entry in the log.
 func (e Entry) Position() position.Position {
 	return position.Position{Term: e.Term, Index: e.Index}
 }
@@ -29,14 +29,15 @@
 	return d.entries[len(d.entries)-1].Position()
 }
 
-// Position returns the newest applied entry.
+// Position returns the position of the newest applied entry.
 func (d *Database) Position() position.Position {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.positionLocked()
 }
 
-// appendLocked adds entries to the log and applies them.
+// appendLocked saves entries to the data file, adds them to the log and applies
+// them.
 func (d *Database) appendLocked(entries ...Entry) {
 	d.saveLocked(recordsOf(entries)...)
 	for _, e := range entries {
@@ -48,10 +49,10 @@
 func (d *Database) applyLocked(e Entry) {
 	before := d.positionLocked()
 	invariant(e.Index == uint64(len(d.entries))+1, "index %d after %d entries", e.Index, len(d.entries))
-	invariant(e.Term >= before.Term, "term of entries falls from %d to %d", before.Term, e.Term)
+	invariant(e.Term >= before.Term, "term of entries decreases from %d to %d", before.Term, e.Term)
 	d.entries = append(d.entries, e)
 	d.applyWritesLocked(e.Writes)
-	invariant(before.Less(d.positionLocked()), "position goes back from %s to %s", before, d.positionLocked())
+	invariant(before.Less(d.positionLocked()), "position does not increase from %s to %s", before, d.positionLocked())
 }
 
 func (d *Database) applyWritesLocked(writes []Write) {
@@ -69,9 +70,9 @@
 	}
 }
 
-// cutLocked removes the entries after index common and rebuilds the state from
-// those that stay. It reports what it removed: the one way for a position to
-// go back.
+// cutLocked removes the entries after index common and rebuilds the tables from
+// the remaining ones. It logs the removed range, since nothing else moves a
+// position back.
 func (d *Database) cutLocked(common uint64) {
 	if common >= uint64(len(d.entries)) {
 		return
@@ -83,7 +84,7 @@
 	d.rebuildLocked(common)
 	d.surplus = &from
 	d.signalLocked()
-	d.cfg.Log.Warn("surplus discarded", "event", "surplus_discarded", "id", d.cfg.ID,
+	d.cfg.Log.Warn("surplus entries discarded", "event", "surplus_discarded", "id", d.cfg.ID,
 		"from", from.String(), "to", to.String(), "entries", count)
 }
 
--- a/internal/standin/database/random_test.go
+++ b/internal/standin/database/random_test.go
@@ -14,7 +14,7 @@
 	"github.com/buckthornshore/buckthornshore/internal/standin/database"
 )
 
-// group is three databases, of which one is the primary.
+// group is a primary and two replicas.
 type group struct {
 	t       *rapid.T
 	dir     string
@@ -22,8 +22,8 @@
 	primary int
 	term    uint64
 	writes  int
-	// kept are the keys whose commit all three databases held.
-	kept []string
+	// replicated holds the keys whose commit all three databases acknowledged.
+	replicated []string
 }
 
 func newGroup(t *rapid.T) *group {
@@ -73,7 +73,8 @@
 	}
 }
 
-// write commits a new key on the primary, waiting for all replicas or none.
+// write commits a new key on the primary. If waits is set, the commit waits for
+// both replicas.
 func (g *group) write(waits bool) {
 	c, err := pgx.Connect(ctx, "postgres://u@"+g.dbs[g.primary].Address()+"/d?sslmode=disable")
 	g.check(err)
@@ -84,26 +85,26 @@
 		sql := fmt.Sprintf("set buckthornshore.wait_for = '%s,%s'", g.id((g.primary+1)%3), g.id((g.primary+2)%3))
 		_, err = c.Exec(ctx, sql)
 		g.check(err)
-		g.kept = append(g.kept, key)
+		g.replicated = append(g.replicated, key)
 	}
 	_, err = c.Exec(ctx, "insert into t (k, v) values ($1, $1)", key)
 	g.check(err)
 }
 
-// restart ends a replica and starts it again from its file.
+// restart closes a replica and reopens it from its data file.
 func (g *group) restart(offset int) {
 	i := (g.primary + offset) % 3
 	g.dbs[i].Close()
 	g.dbs[i] = g.open(i)
 }
 
-// cutOff keeps a replica from the primary, so that the logs may diverge.
-func (g *group) cutOff(offset int) {
+// disconnect disconnects a replica from the primary, so that the logs may diverge.
+func (g *group) disconnect(offset int) {
 	i := (g.primary + offset) % 3
 	g.check(g.dbs[i].Follow(g.term, g.id(g.primary), "127.0.0.1:1"))
 }
 
-func (g *group) settled() bool {
+func (g *group) converged() bool {
 	for _, db := range g.dbs {
 		if db.Position() != g.dbs[g.primary].Position() {
 			return false
@@ -124,11 +125,10 @@
 }
 
 var _ = Describe("A group under random failovers", func() {
-	// Writers lose at most what not all databases held. Replicas are cut off,
-	// restarted and promoted in any order, so logs diverge and are cut back;
-	// what all three once held is in every later primary, and in the end all
-	// hold the same.
-	It("agrees in the end and keeps what all had acknowledged", func() {
+	// Replicas are disconnected, restarted and promoted in random order, so that
+	// logs diverge and are truncated. A commit that all three databases
+	// acknowledged must survive, and all must finally hold the same rows.
+	It("converges and keeps every commit that all databases acknowledged", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			g := newGroup(t)
 			defer g.close()
@@ -141,16 +141,16 @@
 				case 1:
 					g.restart(rapid.IntRange(1, 2).Draw(t, "replica"))
 				case 2:
-					g.cutOff(rapid.IntRange(1, 2).Draw(t, "replica"))
+					g.disconnect(rapid.IntRange(1, 2).Draw(t, "replica"))
 					connected = false
 				default:
 					g.write(connected && rapid.Bool().Draw(t, "waits"))
 				}
 			}
 			g.promote(g.primary)
-			for deadline := time.Now().Add(10 * time.Second); !g.settled(); time.Sleep(time.Millisecond) {
+			for deadline := time.Now().Add(10 * time.Second); !g.converged(); time.Sleep(time.Millisecond) {
 				if time.Now().After(deadline) {
-					t.Fatal("the databases do not agree")
+					t.Fatal("the databases have not converged after 10 s")
 				}
 			}
 			g.verify()
@@ -168,7 +168,7 @@
 	c, err := pgx.Connect(ctx, "postgres://u@"+g.dbs[g.primary].Address()+"/d?sslmode=disable")
 	g.check(err)
 	defer c.Close(ctx)
-	for _, key := range g.kept {
+	for _, key := range g.replicated {
 		var v string
 		if err := c.QueryRow(ctx, "select v from t where k = $1", key).Scan(&v); err != nil {
 			g.t.Fatalf("key %s: %v", key, err)
--- a/internal/standin/database/replication.go
+++ b/internal/standin/database/replication.go
@@ -13,14 +13,14 @@
 const (
 	startReplication  = "START_REPLICATION "
 	heartbeatInterval = 100 * time.Millisecond
-	// replicationSilence is how long either end waits for the other: a
-	// connection that went silent for good is given up and made anew.
-	replicationSilence = 2 * time.Second
+	// replicationTimeout is the maximum time that either end waits for a message
+	// of the other. After it the connection is closed and the replica reconnects.
+	replicationTimeout = 2 * time.Second
 	maxBatch           = 512
 )
 
-// replicationStart is what a follower asks for: its id, the term it follows
-// in, and the last index it holds of each term, oldest first.
+// replicationStart is a follower's request: its id, the term in which it follows
+// and its last log index in each term, oldest term first.
 type replicationStart struct {
 	ID      string      `json:"id"`
 	Term    uint64      `json:"term"`
@@ -32,15 +32,15 @@
 	LastIndex uint64 `json:"last_index"`
 }
 
-// replicationBatch goes from primary to follower: entries, or none as a
-// heartbeat. The first one carries the last index that both hold.
+// replicationBatch is sent from primary to follower. A batch without entries is
+// a heartbeat. The first batch carries the last index common to both logs.
 type replicationBatch struct {
 	Common  *uint64           `json:"common,omitempty"`
 	Entries []Entry           `json:"entries,omitempty"`
 	Newest  position.Position `json:"newest"`
 }
 
-// replicationAck goes from follower to primary.
+// replicationAck is sent from follower to primary.
 type replicationAck struct {
 	Applied position.Position `json:"applied"`
 }
@@ -58,15 +58,16 @@
 	return out
 }
 
-// lastCommon returns the last index that two logs share. A term has one
-// primary, so logs that both hold entries of a term agree up to the shorter one.
+// lastCommon returns the last index that two logs have in common. A term has
+// only one primary, so two logs with entries of the same term are equal up to
+// the lower of their last indexes in that term.
 func lastCommon(a, b []termRange) uint64 {
-	ours := map[uint64]uint64{}
+	lastIndexes := map[uint64]uint64{}
 	for _, r := range a {
-		ours[r.Term] = r.LastIndex
+		lastIndexes[r.Term] = r.LastIndex
 	}
 	for i := len(b) - 1; i >= 0; i-- {
-		if last, ok := ours[b[i].Term]; ok {
+		if last, ok := lastIndexes[b[i].Term]; ok {
 			return min(last, b[i].LastIndex)
 		}
 	}
@@ -74,7 +75,7 @@
 }
 
 // serveReplication streams the log to one follower until the connection ends
-// or the database is no longer the primary of that term.
+// or the database is no longer the primary of the follower's term.
 func (c *conn) serveReplication() {
 	msg, ok := c.receive()
 	if !ok {
@@ -156,7 +157,8 @@
 	}
 }
 
-// await returns when there may be an entry to send or a heartbeat is due.
+// await returns true when there may be an entry to send, a heartbeat is due or
+// the term has ended, and false when the connection has ended.
 func (s *sender) await(changed <-chan struct{}, heartbeat <-chan time.Time) bool {
 	for {
 		select {
@@ -173,22 +175,23 @@
 	}
 }
 
-func (s *sender) current() bool {
+func (s *sender) isCurrent() bool {
 	return s.db.role == RolePrimary && s.db.term == s.start.Term
 }
 
 func (s *sender) peek() (changed <-chan struct{}, more, ok bool) {
 	s.db.mu.Lock()
 	defer s.db.mu.Unlock()
-	return s.db.changed, s.next <= uint64(len(s.db.entries)), s.current()
+	return s.db.changed, s.next <= uint64(len(s.db.entries)), s.isCurrent()
 }
 
-// collect takes the entries to send; changed is closed at the next change.
+// collect returns the next entries to send, at most maxBatch. changed is closed at
+// the next change of the database. ok is false if the term has ended.
 func (s *sender) collect() (batch replicationBatch, changed <-chan struct{}, ok bool) {
 	d := s.db
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !s.current() {
+	if !s.isCurrent() {
 		return batch, nil, false
 	}
 	end := min(uint64(len(d.entries)), s.next-1+maxBatch)
@@ -202,7 +205,7 @@
 	defer s.conn.abort(errClosed)
 	defer s.db.forgetAck(s.start.ID, s.conn)
 	for {
-		msg, ok := s.conn.receiveWithin(replicationSilence)
+		msg, ok := s.conn.receiveWithin(replicationTimeout)
 		if !ok {
 			return
 		}
@@ -218,11 +221,11 @@
 	}
 }
 
-// acknowledge notes what a follower holds.
+// acknowledge records the position that a follower has applied.
 func (d *Database) acknowledge(s *sender, applied position.Position) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !s.current() {
+	if !s.isCurrent() {
 		return
 	}
 	if d.acked[s.start.ID] != applied || d.ackedBy[s.start.ID] != s.conn {
@@ -232,8 +235,8 @@
 	}
 }
 
-// forgetAck drops what a follower said on c. A newer connection of the same
-// follower keeps its own word.
+// forgetAck removes the acknowledgement that a follower sent on c, but not one
+// from a newer connection of the same follower.
 func (d *Database) forgetAck(id string, c *conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/standin/database/replication_test.go
+++ b/internal/standin/database/replication_test.go
@@ -20,7 +20,7 @@
 	Expect(row["role"]).To(Equal("replica"))
 }
 
-// status runs a control statement that answers the status row.
+// status runs a control statement that returns the status row.
 func status(c *pgx.Conn, sql string) map[string]string {
 	GinkgoHelper()
 	rows, err := c.Query(ctx, sql, pgx.QueryExecModeSimpleProtocol)
@@ -43,7 +43,7 @@
 		replica = start(database.Config{ID: "b"})
 	})
 
-	It("brings a replica up to date, which refuses writes", func() {
+	It("replicates to a replica, which refuses writes", func() {
 		w := connect(primary)
 		run(w, "insert into t (k, v) values ('x', '1')")
 		follow(replica, primary, 1)
@@ -63,10 +63,10 @@
 		Expect(get(connect(replica), "x")).To(Equal("1"))
 	})
 
-	// The caller sees a warning BT208 on a write that stays. The primary commits
-	// and waits for a replica that nobody started; the time-out ends the wait but
-	// cannot undo the commit. In a transaction the COMMIT brings the warning.
-	It("warns BT208 of a commit that is not replicated in time", func() {
+	// The primary commits and waits for replicas that do not follow it. The timeout
+	// ends the wait but cannot undo the commit, so the caller gets warning BT208
+	// and the write stays. In a transaction, COMMIT returns the warning.
+	It("returns warning BT208 for a commit that is not replicated in time", func() {
 		var warnings []string
 		w := connectWithNotices(primary, &warnings)
 		run(w, "set buckthornshore.wait_for = 'b, c'")
@@ -82,7 +82,7 @@
 		Expect(get(w, "x") + get(w, "y")).To(Equal("11"))
 	})
 
-	It("lags by the delay that was set", func() {
+	It("applies entries after the replication delay", func() {
 		follow(replica, primary, 1)
 		Eventually(replica.Position).Should(Equal(primary.Position()))
 		run(control(replica), "BTS SET replication_delay 1h", pgx.QueryExecModeSimpleProtocol)
@@ -93,11 +93,11 @@
 		Eventually(func() string { return get(r, "x") }).Should(Equal("1"))
 	})
 
-	// The caller loses the last write of the old primary, and operators see
-	// which. The replica lags behind, the primary is cut off and commits "lost",
-	// the replica is promoted without it; when the old primary follows the new
-	// one, its log differs from there on and is cut back.
-	It("discards and reports what a replaced primary had in surplus", func() {
+	// The replica is fenced, so the old primary commits "lost" alone, and the
+	// replica is promoted without it. When the old primary follows the new one,
+	// its log is truncated to the common part and the status shows the first
+	// position lost.
+	It("discards and reports the surplus of a replaced primary", func() {
 		w := connect(primary)
 		run(w, "insert into t (k, v) values ('kept', '1')")
 		follow(replica, primary, 1)
@@ -115,9 +115,9 @@
 		Expect(get(r, "lost")).To(BeEmpty())
 	})
 
-	// Readers of the replica notice nothing: the primary goes away, the
-	// replica keeps trying to reach it, and its own state stays as it is.
-	It("serves reads while its primary is gone", func() {
+	// The primary is down and the replica keeps reconnecting; its own state must
+	// stay unchanged and readable.
+	It("serves reads while its primary is down", func() {
 		run(connect(primary), "insert into t (k, v) values ('x', '1')")
 		follow(replica, primary, 1)
 		Eventually(replica.Position).Should(Equal(primary.Position()))
@@ -126,10 +126,10 @@
 		Consistently(func() string { return get(r, "x") }, 300*time.Millisecond).Should(Equal("1"))
 	})
 
-	// Readers of the replica see old data for a while, then new data again.
-	// Something between the two loses track of the connection: it stays open
-	// and carries nothing, while new ones work. The silence ends it.
-	It("replaces a replication connection that went silent", func() {
+	// A device between replica and primary loses the state of the connection: it
+	// stays open but delivers nothing, while new connections work. The replica
+	// must time out and reconnect instead of serving old data for ever.
+	It("replaces a replication connection that delivers nothing", func() {
 		link := newForwarder(primary.Address())
 		Expect(replica.Follow(1, "a", link.address())).To(Succeed())
 		Eventually(replica.Position).Should(Equal(primary.Position()))
@@ -140,8 +140,8 @@
 		Eventually(func() string { return get(r, "x") }, "20s").Should(Equal("1"))
 	})
 
-	// The replica keeps its state and serves it, also when what it takes for
-	// its primary accepts connections and never says a word.
+	// The address of the primary accepts connections but never sends a message.
+	// The replica must still serve its state and accept a fence.
 	It("serves reads while its primary is frozen", func() {
 		run(connect(primary), "insert into t (k, v) values ('x', '1')")
 		follow(replica, primary, 1)
--- a/internal/standin/database/result.go
+++ b/internal/standin/database/result.go
@@ -14,7 +14,7 @@
 	oid  uint32
 }
 
-// result is what a statement answers; a nil value is NULL.
+// result is the result of a statement; a nil value is NULL.
 type result struct {
 	columns []column
 	rows    [][]*string
@@ -38,7 +38,8 @@
 	sleepColumns = []column{{"pg_sleep", oidVoid}}
 )
 
-// columnsOf returns the columns that a statement answers; none without rows.
+// columnsOf returns the columns of a statement's result, or nil if it returns no
+// rows.
 func columnsOf(stmt *sqlparse.Statement) []column {
 	switch stmt.Kind {
 	case sqlparse.SelectValue:
@@ -81,7 +82,7 @@
 	s.conn.send(msg)
 }
 
-// sendRows sends the rows and the completion.
+// sendRows sends the rows and CommandComplete.
 func (s *session) sendRows(res *result, formats []int16) {
 	for _, row := range res.rows {
 		msg := &pgproto3.DataRow{Values: make([][]byte, len(row))}
--- a/internal/standin/database/role.go
+++ b/internal/standin/database/role.go
@@ -8,30 +8,30 @@
 	"github.com/buckthornshore/buckthornshore/pkg/position"
 )
 
-// Status is the row that SHOW buckthornshore.status answers.
+// Status is the row that SHOW buckthornshore.status returns.
 type Status struct {
 	ID          string
 	Role        Role
 	Term        uint64
 	Position    position.Position
-	Primary     string             // id
+	Primary     string             // id of the primary, if known
 	Surplus     *position.Position // first position lost by the last divergence
 	Connections int
-	Active      []uint32                     // connections that run a statement, by process id
-	Replicas    map[string]position.Position // acknowledged, by id
+	Active      []uint32                     // process ids of the connections that run a statement
+	Replicas    map[string]position.Position // acknowledged positions by replica id
 }
 
 // Status returns the database's state.
 func (d *Database) Status() Status {
 	d.connMu.Lock()
-	ordinary := d.ordinary
+	ordinaryConns := d.ordinaryConns
 	active := d.activeLocked()
 	d.connMu.Unlock()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	st := Status{
 		ID: d.cfg.ID, Role: d.role, Term: d.term, Position: d.positionLocked(),
-		Primary: d.primary.ID, Surplus: d.surplus, Connections: ordinary,
+		Primary: d.primary.ID, Surplus: d.surplus, Connections: ordinaryConns,
 		Active:   active,
 		Replicas: map[string]position.Position{},
 	}
@@ -41,7 +41,7 @@
 	return st
 }
 
-// replicaList writes the replicas as id=position, separated by commas.
+// replicaList returns the replicas as id=position, separated by commas.
 func (s Status) replicaList() string {
 	list := make([]string, 0, len(s.Replicas))
 	for id, p := range s.Replicas {
@@ -51,7 +51,8 @@
 	return strings.Join(list, ",")
 }
 
-// Fence raises the term and refuses everything in it. Idempotent.
+// Fence raises the term and makes the database refuse data statements, BEGIN and
+// COMMIT. It is idempotent.
 func (d *Database) Fence(term uint64) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -59,16 +60,16 @@
 		return nil
 	}
 	if term <= d.term {
-		return d.lowerTerm("fence", term)
+		return d.termRefusedError("fence", term)
 	}
 	d.changeRoleLocked(term, RoleFenced, endpoint{})
 	return nil
 }
 
-// Promote makes the database the primary of term. Idempotent.
+// Promote makes the database the primary of term. It is idempotent.
 //
-// A replica of the same term is refused: its term has a primary already, and
-// two logs of one term could no longer be told apart.
+// It refuses to promote a replica of the same term: the term has a primary
+// already, and two diverging logs of one term could not be distinguished.
 func (d *Database) Promote(term uint64) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -76,17 +77,17 @@
 		return nil
 	}
 	if term < d.term || term == 0 || term == d.term && d.role == RoleReplica {
-		return d.lowerTerm("promote", term)
+		return d.termRefusedError("promote", term)
 	}
 	d.changeRoleLocked(term, RolePrimary, endpoint{ID: d.cfg.ID})
 	// The empty entry gives the new term a position at once, so that a
-	// diverged replica is recognised before the first write.
+	// diverged replica is detected before the first write.
 	d.appendLocked(Entry{Term: term, Index: uint64(len(d.entries)) + 1})
 	return nil
 }
 
-// Follow makes the database a replica of the primary at address. Idempotent.
-// The primary of a term cannot follow another one in the same term.
+// Follow makes the database a replica of the primary at address. It is
+// idempotent. The primary of a term cannot become a replica in the same term.
 func (d *Database) Follow(term uint64, id, address string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -95,7 +96,7 @@
 		return nil
 	}
 	if term < d.term || term == 0 || term == d.term && d.role == RolePrimary {
-		return d.lowerTerm("follow", term)
+		return d.termRefusedError("follow", term)
 	}
 	if id == d.cfg.ID {
 		return sqlError(CodeBadParameter, "%s cannot follow itself", id)
@@ -105,15 +106,15 @@
 	return nil
 }
 
-func (d *Database) lowerTerm(what string, term uint64) error {
-	return sqlError(CodeTermRefused, "cannot %s in term %d: the database is %s in term %d", what, term, d.role, d.term)
+func (d *Database) termRefusedError(action string, term uint64) error {
+	return sqlError(CodeTermRefused, "cannot %s in term %d: the database is %s in term %d", action, term, d.role, d.term)
 }
 
 func (d *Database) changeRoleLocked(term uint64, role Role, primary endpoint) {
-	invariant(term >= d.term, "term falls from %d to %d", d.term, term)
+	invariant(term >= d.term, "term decreases from %d to %d", d.term, term)
 	d.stopFollowerLocked()
 	if term != d.term || role != d.role {
-		d.endAllLocked()
+		d.rollbackAllLocked()
 	}
 	d.term, d.role, d.primary = term, role, primary
 	d.acked = map[string]position.Position{}
@@ -131,9 +132,9 @@
 	}
 }
 
-// startFollowerLocked starts to follow the primary. After Close it does
-// nothing: a FOLLOW that was under way would otherwise start a follower that
-// nobody stops, and Close would wait for it for good.
+// startFollowerLocked starts replication from the primary. After Close it does
+// nothing: a concurrent FOLLOW could otherwise start a follower that is never
+// stopped, and Close would block forever.
 func (d *Database) startFollowerLocked() {
 	if d.stopped {
 		return
@@ -148,7 +149,7 @@
 	}()
 }
 
-// resumeFollowing goes on where the data file left off.
+// resumeFollowing restarts replication if the data file holds the role replica.
 func (d *Database) resumeFollowing() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/standin/database/session.go
+++ b/internal/standin/database/session.go
@@ -11,7 +11,7 @@
 	"github.com/buckthornshore/buckthornshore/internal/standin/database/sqlparse"
 )
 
-// Transaction status in ReadyForQuery.
+// Transaction states in ReadyForQuery.
 const (
 	statusIdle   = 'I'
 	statusOpen   = 'T'
@@ -24,34 +24,35 @@
 	db   *Database
 
 	vars        map[string]string
-	term        uint64 // bound to it, if bound
+	term        uint64 // term that the connection is bound to; valid if bound
 	bound       bool
 	waitFor     []string
-	waitTimeout time.Duration // 0: waits as long as it takes
+	waitTimeout time.Duration // 0 for no limit
 
 	txn    *txn
-	failed bool // in an explicit transaction that was rolled back already
-	// lostTerm tells that the rollback came from a change of term.
-	lostTerm bool
+	failed bool // set in an explicit transaction that was rolled back already
+	// termChanged is set when a change of term caused the rollback.
+	termChanged bool
 
 	prepared map[string]*prepared
 	portals  map[string]*portal
-	skipping bool // until Sync, after an error in the extended protocol
+	skipping bool // messages are ignored until Sync, after an error in the extended protocol
 }
 
 func newSession(c *conn, start map[string]string) *session {
 	s := &session{conn: c, db: c.db, prepared: map[string]*prepared{}, portals: map[string]*portal{}}
 	s.resetVariables()
 	for name, value := range start {
-		// A value that does not fit is as good as none at start-up.
+		// An invalid value in the start-up message is ignored.
 		_ = s.setVariable(strings.ToLower(name), value)
 	}
 	return s
 }
 
-// run serves messages until the connection ends; then it rolls back.
+// run handles messages until the connection ends, then rolls back the open
+// transaction.
 func (s *session) run() {
-	defer s.abandon()
+	defer s.rollbackOpen()
 	for {
 		msg, ok := s.conn.receive()
 		if !ok {
@@ -63,7 +64,7 @@
 	}
 }
 
-func (s *session) abandon() {
+func (s *session) rollbackOpen() {
 	if s.txn != nil {
 		s.db.rollback(s.txn)
 	}
@@ -90,8 +91,8 @@
 	return statusIdle
 }
 
-// simple runs the statements of one Query message. Several without BEGIN are
-// one transaction.
+// simple runs the statements of one Query message. Without BEGIN, they form one
+// implicit transaction.
 func (s *session) simple(sql string) {
 	s.skipping = false
 	if err := s.simpleStatements(sql); err != nil {
@@ -125,14 +126,14 @@
 	return nil
 }
 
-// fail rolls back the open transaction; an explicit one stays failed until it
-// is ended.
+// fail rolls back the open transaction. An explicit one stays in the failed state
+// until COMMIT or ROLLBACK.
 func (s *session) fail() {
 	if s.txn == nil {
 		return
 	}
 	s.failed = !s.txn.implicit
-	s.lostTerm = s.failed && s.db.hasEnded(s.txn)
+	s.termChanged = s.failed && s.db.hasEnded(s.txn)
 	s.db.rollback(s.txn)
 	s.txn = nil
 }
@@ -164,7 +165,7 @@
 	return nil
 }
 
-// bind ties the connection to a term; the empty string unties it.
+// bind binds the connection to a term; the empty string removes the binding.
 func (s *session) bind(value string) error {
 	if value == "" {
 		s.term, s.bound = 0, false
@@ -196,7 +197,7 @@
 	if v, ok := s.vars[name]; ok {
 		return v, nil
 	}
-	for _, p := range reported {
+	for _, p := range reportedParameters {
 		if strings.EqualFold(p.name, name) {
 			return p.value, nil
 		}
@@ -204,8 +205,8 @@
 	return "", sqlError(CodeUnknownVariable, "unrecognized configuration parameter %q", name)
 }
 
-// hold keeps a slot for the time that a statement takes.
-func (s *session) hold(ctx context.Context, extra time.Duration) error {
+// waitStatementTime waits for the configured statement time plus extra.
+func (s *session) waitStatementTime(ctx context.Context, extra time.Duration) error {
 	d := time.Duration(s.db.statementTime.Load()) + extra
 	if d <= 0 {
 		return nil
--- a/internal/standin/database/slots.go
+++ b/internal/standin/database/slots.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// slots bounds the statements that run at once; waiters are served in order of
-// arrival.
+// slots limits the number of concurrent statements. Waiters are served in order
+// of arrival.
 type slots struct {
 	mu      sync.Mutex
 	free    int
@@ -29,14 +29,14 @@
 	case <-ready:
 		return nil
 	case <-ctx.Done():
-		s.leave(ready)
+		s.removeWaiter(ready)
 		return contextError(ctx)
 	}
 }
 
-// leave takes a waiter out of the queue. A slot that was handed over at the
-// same moment goes to the next waiter; otherwise it would be lost for good.
-func (s *slots) leave(ready chan struct{}) {
+// removeWaiter removes a waiter from the queue. If a slot was granted to it
+// meanwhile, the slot is released; otherwise it would be lost permanently.
+func (s *slots) removeWaiter(ready chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, w := range s.waiters {
--- a/internal/standin/database/slots_test.go
+++ b/internal/standin/database/slots_test.go
@@ -12,10 +12,10 @@
 )
 
 var _ = Describe("Slots", func() {
-	// Callers would wait for ever: a waiter is cancelled at the moment in
-	// which the slot is handed to it. It has to pass the slot on, or the slot
-	// is lost, a little more often each day.
-	It("loses no slot to a waiter that gives up", func() {
+	// A waiter is cancelled at the moment in which a slot is granted to it. It
+	// must release the slot. Otherwise slots are lost over time until all callers
+	// wait for ever.
+	It("loses no slot when a waiter is cancelled", func() {
 		s := database.NewSlots(1)
 		for range 2000 {
 			Expect(s.Acquire(ctx)).To(Succeed())
--- a/internal/standin/database/startup.go
+++ b/internal/standin/database/startup.go
@@ -24,7 +24,7 @@
 	valueOff         = "off"
 )
 
-// serverVersion is what clients see as the version of the server.
+// serverVersion is the server version reported to clients.
 const serverVersion = "15.0 (buckthornshore stand-in)"
 
 type parameter struct {
@@ -32,8 +32,8 @@
 	value string
 }
 
-// reported are the parameters that common clients want to know.
-var reported = []parameter{
+// reportedParameters are sent to every client, since common drivers expect them.
+var reportedParameters = []parameter{
 	{"server_version", serverVersion},
 	{"server_encoding", "UTF8"},
 	{"client_encoding", "UTF8"},
@@ -45,8 +45,8 @@
 	{"is_superuser", valueOff},
 }
 
-// startUp answers the start of a connection. It returns nil without an error
-// when the connection was a cancel request or was closed.
+// startUp performs the start-up phase of a connection. It returns nil without an
+// error if the connection was a cancel request or was closed.
 func (c *conn) startUp() (*pgproto3.StartupMessage, error) {
 	if err := c.nc.SetDeadline(time.Now().Add(startupTimeout)); err != nil {
 		return nil, nil
@@ -63,15 +63,15 @@
 		}
 	}
 	time.Sleep(c.db.cfg.ConnectTime)
-	c.welcome()
+	c.sendStartupReply()
 	if err := c.nc.SetDeadline(time.Time{}); err != nil {
 		return nil, nil
 	}
 	return start, nil
 }
 
-// readOptions adds the settings of the options parameter ("-c name=value"),
-// the one way to give start-up parameters from psql.
+// readOptions adds the settings of the options parameter ("-c name=value") to
+// params. psql has no other way to pass start-up parameters.
 func readOptions(params map[string]string) {
 	for _, word := range strings.Fields(params["options"]) {
 		word = strings.TrimLeft(strings.TrimPrefix(word, "-c"), "-")
@@ -101,19 +101,19 @@
 	}
 }
 
-func (c *conn) welcome() {
+func (c *conn) sendStartupReply() {
 	c.send(&pgproto3.AuthenticationOk{})
-	for _, p := range reported {
+	for _, p := range reportedParameters {
 		c.send(&pgproto3.ParameterStatus{Name: p.name, Value: p.value})
 	}
 	c.send(&pgproto3.BackendKeyData{ProcessID: c.pid, SecretKey: c.secret})
 	c.ready(statusIdle)
-	// A broken connection is noticed by the reader.
+	// The error is ignored: readAll detects a broken connection.
 	_ = c.flush()
 }
 
-// ready reports what this connection committed since it last was ready, the
-// newest position and that the next statement may come.
+// ready sends the position of this connection's newest commit, if there was one
+// since the last call, the newest position of the database and ReadyForQuery.
 func (c *conn) ready(status byte) {
 	if !c.committed.IsZero() {
 		c.send(&pgproto3.ParameterStatus{Name: varCommitted, Value: c.committed.String()})
--- a/internal/standin/database/statements_test.go
+++ b/internal/standin/database/statements_test.go
@@ -14,7 +14,7 @@
 	var c *pgx.Conn
 	BeforeEach(func() { c = connect(startPrimary(database.Config{ID: "a"})) })
 
-	It("reads what it wrote, in every form", func() {
+	It("reads what every form of write statement wrote", func() {
 		run(c, "insert into t (k, v) values ($1, $2)", "x1", "5")
 		run(c, "INSERT INTO t (k, v) VALUES ('x2', '7')")
 		run(c, "insert into t (k, v) values ($1, $2) on conflict (k) do update set v = excluded.v", "x2", "8")
@@ -39,14 +39,14 @@
 		Expect(get(c, "x2")).To(BeEmpty())
 	})
 
-	It("names the key of a duplicate", func() {
+	It("reports the key in a duplicate key error", func() {
 		run(c, "insert into t (k, v) values ('dup', '1')")
 		_, err := c.Exec(ctx, "insert into t (k, v) values ($1, '2')", "dup")
 		Expect(code(err)).To(Equal("23505"))
 		Expect(err.Error()).To(ContainSubstring("dup"))
 	})
 
-	It("answers the small ones", func() {
+	It("answers SELECT without a table, pg_sleep, SET, SHOW, DISCARD and the empty statement", func() {
 		var one int
 		Expect(c.QueryRow(ctx, "select 1").Scan(&one)).To(Succeed())
 		var echo string
--- a/internal/standin/database/suite_test.go
+++ b/internal/standin/database/suite_test.go
@@ -14,7 +14,7 @@
 	"github.com/buckthornshore/buckthornshore/internal/standin/database"
 )
 
-// A fixed seed gives the same verdict on every run; -rapid.seed overrides it.
+// A fixed seed makes the result reproducible; -rapid.seed overrides it.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 func TestDatabase(t *testing.T) {
@@ -24,7 +24,7 @@
 
 var ctx = context.Background()
 
-// start serves a database until the test ends.
+// start starts a database that is closed when the test ends.
 func start(cfg database.Config) *database.Database {
 	GinkgoHelper()
 	db, err := database.New(cfg)
@@ -34,7 +34,7 @@
 	return db
 }
 
-// startPrimary serves the primary of term 1.
+// startPrimary starts a database as the primary of term 1.
 func startPrimary(cfg database.Config) *database.Database {
 	GinkgoHelper()
 	db := start(cfg)
@@ -42,7 +42,8 @@
 	return db
 }
 
-// dial connects with the given start-up parameters, name and value in turn.
+// dial connects with the start-up parameters in params, as alternating names and
+// values.
 func dial(db *database.Database, params ...string) (*pgx.Conn, error) {
 	cfg, err := pgx.ParseConfig("postgres://u@" + db.Address() + "/d?sslmode=disable")
 	Expect(err).NotTo(HaveOccurred())
@@ -52,7 +53,7 @@
 	return pgx.ConnectConfig(ctx, cfg)
 }
 
-// connectWithNotices collects the codes of the warnings that come.
+// connectWithNotices connects and appends the SQLSTATE of each notice to codes.
 func connectWithNotices(db *database.Database, codes *[]string) *pgx.Conn {
 	GinkgoHelper()
 	cfg, err := pgx.ParseConfig("postgres://u@" + db.Address() + "/d?sslmode=disable")
--- a/internal/standin/database/terms_test.go
+++ b/internal/standin/database/terms_test.go
@@ -17,9 +17,9 @@
 		run(c, "set buckthornshore.term = '1'")
 	})
 
-	// The caller's statements are refused, and the refusal is true: the term
-	// moves on behind its back, and the check stands before each statement.
-	It("refuses statements before they run once the term has moved on", func() {
+	// The term changes while the caller is bound to the old one. The term is
+	// checked before each statement, so a refused statement has had no effect.
+	It("refuses statements before they run once the term has changed", func() {
 		run(c, "insert into t (k, v) values ('x', '1')")
 		Expect(db.Promote(3)).To(Succeed())
 		before := db.Position()
@@ -33,10 +33,10 @@
 		Expect(get(c, "x")).To(Equal("1"))
 	})
 
-	// The caller's COMMIT is refused and nothing stays. Its transaction was
-	// open when the term changed, so the database rolled it back; the locks
-	// are free for the transactions of the new term.
-	DescribeTable("refuses the commit of a transaction from before", func(bound bool) {
+	// The transaction was open when the term changed, so the database rolled it
+	// back and released its locks to transactions of the new term. COMMIT must
+	// be refused and no write may remain.
+	DescribeTable("refuses the commit of a transaction begun before a change of term", func(bound bool) {
 		if !bound {
 			run(c, "reset buckthornshore.term")
 		}
@@ -49,9 +49,9 @@
 		Expect(get(connect(db), "x")).To(Equal("2"))
 	},
 		Entry("on a connection bound to the old term", true),
-		Entry("on a connection bound to none", false))
+		Entry("on a connection bound to no term", false))
 
-	It("refuses the commit also after a refused statement", func() {
+	It("refuses the commit after a change of term also if a statement was refused before", func() {
 		run(c, "reset buckthornshore.term")
 		run(c, "begin")
 		run(c, "insert into t (k, v) values ('x', '1')")
@@ -61,9 +61,9 @@
 		run(c, "insert into t (k, v) values ('x', '2')")
 	})
 
-	// The caller was queued for a lock when the fence came. It is woken and
-	// refused, since its transaction was rolled back with all others.
-	It("wakes and refuses what waits when a fence comes", func() {
+	// The caller waits for a lock when the database is fenced. It must be woken
+	// and refused, since the fence rolls back all transactions.
+	It("wakes and refuses statements that wait for a lock when it is fenced", func() {
 		holder := connect(db)
 		run(holder, "begin")
 		run(holder, "insert into t (k, v) values ('x', '1')")
@@ -74,7 +74,7 @@
 		Eventually(done).Should(Receive(Equal("BT202")))
 	})
 
-	It("fences, and answers the final position again when asked again", func() {
+	It("returns the same final position when a fence is repeated", func() {
 		ctl := control(db)
 		run(c, "insert into t (k, v) values ('x', '1')")
 		for range 2 {
@@ -96,7 +96,7 @@
 		Expect(execCode(ctl, "BTS FENCE 4")).To(Equal("BT202"))
 	})
 
-	It("keeps a term to one primary", func() {
+	It("allows only one primary in a term", func() {
 		ctl := control(db)
 		Expect(execCode(ctl, "BTS FOLLOW 1 b 127.0.0.1:1")).To(Equal("BT202"))
 		replica := start(database.Config{ID: "b"})
@@ -104,12 +104,12 @@
 		Expect(execCode(control(replica), "BTS PROMOTE 1")).To(Equal("BT202"))
 	})
 
-	It("takes control statements from control connections only", func() {
+	It("accepts control statements only on control connections", func() {
 		Expect(execCode(c, "BTS FENCE 9")).To(Equal("42501"))
 		Expect(execCode(c, "show buckthornshore.status")).To(Equal("42501"))
 	})
 
-	It("shows what was set", func() {
+	It("shows the value of a variable that was set", func() {
 		var v string
 		Expect(c.QueryRow(ctx, "show buckthornshore.term").Scan(&v)).To(Succeed())
 		Expect(v).To(Equal("1"))
--- a/internal/standin/database/transactions_test.go
+++ b/internal/standin/database/transactions_test.go
@@ -37,7 +37,7 @@
 		Expect(get(c, "x")).To(Equal("1"))
 	})
 
-	It("refuses statements after an error until the end", func() {
+	It("refuses statements after an error until the transaction ends", func() {
 		run(c, "begin")
 		run(c, "insert into t (k, v) values ('x', '1')")
 		Expect(execCode(c, "nonsense")).To(Equal("42601"))
@@ -49,7 +49,7 @@
 		Expect(get(c, "x")).To(BeEmpty())
 	})
 
-	It("loses no increment of many at once", func() {
+	It("loses no increment of concurrent transactions", func() {
 		run(c, "insert into t (k, v) values ('n', '0')")
 		const workers, increments = 8, 20
 		var group sync.WaitGroup
@@ -68,10 +68,10 @@
 		Expect(get(c, "n")).To(Equal(strconv.Itoa(workers * increments)))
 	})
 
-	// Both callers wait for each other: each holds a key and asks for the
-	// other's. The first to reach the time-out of locks gets 40P01, its
-	// rollback frees its key and the other one goes on.
-	It("breaks up transactions that wait for each other", func() {
+	// Each of two transactions holds a row lock and waits for the other's. The
+	// first to reach the lock timeout gets 40P01; its rollback releases its lock
+	// and the other transaction continues.
+	It("resolves a deadlock between two transactions", func() {
 		run(c, "insert into t (k, v) values ('x', '1'); insert into t (k, v) values ('y', '1')", pgx.QueryExecModeSimpleProtocol)
 		run(c, "begin")
 		run(c, "update t set v = '2' where k = 'x'")
@@ -83,10 +83,10 @@
 		Expect([]string{<-first, second}).To(ContainElement("40P01"))
 	})
 
-	// The second caller waits for a key whose holder dies without a word. The
-	// closed connection rolls the holder back at once, so the waiter gets the
-	// key long before its own time-out.
-	It("frees the locks of a connection that closes", func() {
+	// The second caller waits for a lock whose owner's connection is closed
+	// without a Terminate message. That must roll the owner back at once, so the
+	// waiter gets the lock before its own timeout.
+	It("releases the locks of a connection that closes", func() {
 		run(c, "begin")
 		run(c, "insert into t (k, v) values ('x', '1')")
 		done := make(chan string, 1)
@@ -97,8 +97,8 @@
 		Expect(get(other, "x")).To(Equal("2"))
 	})
 
-	// A waiter for a lock must not keep the only slot from the holder of the
-	// lock: with the slot taken, the holder could never commit.
+	// A statement that waits for a lock must not occupy the only slot: the owner
+	// of the lock could then never commit.
 	It("holds no slot while it waits for a lock", func() {
 		db := startPrimary(database.Config{ID: "a", Slots: 1})
 		c, other := connect(db), connect(db)
--- a/internal/standin/database/txn.go
+++ b/internal/standin/database/txn.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// txn is one open transaction. The database's mutex guards it.
+// txn is an open transaction. It is guarded by Database.mu.
 type txn struct {
 	locked []rowKey
-	// writes holds the newest write of each row; order keeps the rows in
+	// writes holds the newest write of each row; order lists the rows in the
 	// order of their first write.
 	writes map[rowKey]Write
 	order  []rowKey
-	// ended is set by a change of term, which rolls back every transaction.
+	// ended is set when a change of term has rolled back the transaction.
 	ended bool
-	// implicit marks the transaction of a batch without BEGIN.
+	// implicit is set for the transaction of a batch without BEGIN.
 	implicit bool
 }
 
@@ -23,7 +23,7 @@
 	return t
 }
 
-// rollback ends t and undoes its writes.
+// rollback ends t and discards its writes.
 func (d *Database) rollback(t *txn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -42,8 +42,8 @@
 	delete(d.txns, t)
 }
 
-// endAllLocked rolls back every open transaction, because the term changes.
-func (d *Database) endAllLocked() {
+// rollbackAllLocked rolls back every open transaction, as a change of term requires.
+func (d *Database) rollbackAllLocked() {
 	for t := range d.txns {
 		t.ended = true
 		t.locked = nil
@@ -60,8 +60,8 @@
 	t.writes[key] = w
 }
 
-// list returns the writes in order.
-func (t *txn) list() []Write {
+// orderedWrites returns the writes in the order of the first write to each row.
+func (t *txn) orderedWrites() []Write {
 	out := make([]Write, 0, len(t.order))
 	for _, key := range t.order {
 		out = append(out, t.writes[key])
@@ -69,7 +69,8 @@
 	return out
 }
 
-// get reads a row as t sees it: its own write, else what is committed.
+// getLocked reads a row as t sees it: its own write if there is one, otherwise
+// the committed value.
 func (d *Database) getLocked(t *txn, key rowKey) (string, bool) {
 	if t != nil {
 		if w, ok := t.writes[key]; ok {
@@ -80,11 +81,11 @@
 	return v, ok
 }
 
-// scanLocked returns the keys that match, in order, as t sees them.
+// scanLocked returns the matching keys that t sees, sorted.
 func (d *Database) scanLocked(t *txn, table string, match func(string) bool) []string {
 	var keys []string
 	for key := range d.tables[table] {
-		if match(key) && !t.touches(rowKey{table, key}) {
+		if match(key) && !t.hasWrite(rowKey{table, key}) {
 			keys = append(keys, key)
 		}
 	}
@@ -99,7 +100,7 @@
 	return keys
 }
 
-func (t *txn) touches(key rowKey) bool {
+func (t *txn) hasWrite(key rowKey) bool {
 	if t == nil {
 		return false
 	}
--- a/internal/standin/database/types.go
+++ b/internal/standin/database/types.go
@@ -23,8 +23,8 @@
 
 const formatBinary = 1
 
-// formatOf returns the format of value i: none given means text, one given
-// holds for all.
+// formatOf returns the format code of value i. An empty list means text for all
+// values; a single code applies to all.
 func formatOf(formats []int16, i int) int16 {
 	switch {
 	case len(formats) == 0:
@@ -49,7 +49,7 @@
 	return -1
 }
 
-// encodeValue writes a value, kept as text, in the given type and format.
+// encodeValue encodes the text of a value in the given type and format.
 func encodeValue(oid uint32, format int16, v string) []byte {
 	if format != formatBinary || oid != oidInt8 && oid != oidInt4 {
 		return []byte(v)
@@ -62,7 +62,7 @@
 	return binary.BigEndian.AppendUint64(nil, uint64(n))
 }
 
-// decodeValue reads a parameter into text; nil is NULL.
+// decodeValue converts a parameter to text; nil is NULL.
 func decodeValue(oid uint32, format int16, raw []byte) (*string, error) {
 	if raw == nil {
 		return nil, nil
@@ -99,7 +99,7 @@
 func formatFloat(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
 
 // paramTypes returns the types of a statement's parameters: those that the
-// client names, else those that the statement implies.
+// client specified, otherwise those that the statement implies.
 func paramTypes(stmt *sqlparse.Statement, named []uint32) []uint32 {
 	types := make([]uint32, max(stmt.Params, len(named)))
 	for i := range types {
--- a/internal/standin/database/wait.go
+++ b/internal/standin/database/wait.go
@@ -8,10 +8,11 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// awaitReplicas waits until the replicas that the session names hold the entry.
-// The entry is committed here in any case. When the wait times out the statement
-// completes with a warning BT208, as PostgreSQL itself does; when the database
-// leaves the term or the caller cancels, it is an error BT208.
+// awaitReplicas waits until the replicas in the session's wait_for list have
+// acknowledged the entry. The entry stays committed in any case. If the wait
+// times out, the statement completes with warning BT208, as in PostgreSQL when a
+// wait for synchronous replication is interrupted; if the database leaves the
+// term or the caller cancels, the statement fails with error BT208.
 func (s *session) awaitReplicas(ctx context.Context, e *Entry) error {
 	if e == nil || len(s.waitFor) == 0 {
 		return nil
@@ -55,8 +56,9 @@
 		e.Position(), strings.Join(missing, ","), why)
 }
 
-// missingAcks returns the replicas that do not hold e yet and whether the
-// database is still in the term of e.
+// missingAcks returns the replicas that have not acknowledged e, a channel that
+// is closed at the next change, and whether the database is still the primary in
+// the term of e.
 func (d *Database) missingAcks(e Entry, ids []string) (missing []string, changed <-chan struct{}, current bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
