--- a/internal/standin/network/datagrams.go
+++ b/internal/standin/network/datagrams.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Datagrams forwards UDP datagrams of one sender to a target, and the answers back, until it
-// is cut. Safe for concurrent use.
+// Datagrams forwards UDP datagrams from one sender to a target, and the answers back, unless
+// it is cut. It is safe for concurrent use.
 type Datagrams struct {
 	faults
 	in, out *net.UDPConn
-	// sender sent the last datagram; answers go there.
+	// sender is the source of the last datagram; answers are sent to it.
 	sender *net.UDPAddr
 	done   chan struct{}
 }
 
-// maxDatagram is more than any datagram holds.
+// maxDatagram is the size of the read buffer in bytes, larger than any UDP datagram.
 const maxDatagram = 1 << 16
 
-// NewDatagrams listens on a loopback address of its own.
+// NewDatagrams listens on a free loopback port.
 func NewDatagrams(target string) (*Datagrams, error) { return NewDatagramsAt(target, "127.0.0.1:0") }
 
 // NewDatagramsAt listens on the address, ip:port.
@@ -46,7 +46,7 @@
 	return d, nil
 }
 
-// Address is where the link takes datagrams.
+// Address returns the address on which the link receives datagrams.
 func (d *Datagrams) Address() string { return d.in.LocalAddr().String() }
 
 func (d *Datagrams) forward() {
@@ -59,7 +59,7 @@
 		d.mu.Lock()
 		d.sender = from
 		d.mu.Unlock()
-		d.later(buf[:n], false, func(b []byte) { _, _ = d.out.Write(b) }) // Lost, as datagrams may be.
+		d.sendDelayed(buf[:n], false, func(b []byte) { _, _ = d.out.Write(b) }) // An error means loss, which UDP allows.
 	}
 }
 
@@ -73,10 +73,10 @@
 		default:
 		}
 		if err != nil {
-			time.Sleep(time.Millisecond) // Nobody listens there at present.
+			time.Sleep(time.Millisecond) // No process listens on the target at present.
 			continue
 		}
-		d.later(buf[:n], true, func(b []byte) {
+		d.sendDelayed(buf[:n], true, func(b []byte) {
 			d.mu.Lock()
 			to := d.sender
 			d.mu.Unlock()
@@ -85,12 +85,12 @@
 	}
 }
 
-// later sends a datagram after the delay, unless it is to be swallowed.
-func (d *Datagrams) later(raw []byte, answer bool, send func([]byte)) {
+// sendDelayed sends a copy of a datagram after the delay, unless the link drops it.
+func (d *Datagrams) sendDelayed(raw []byte, answer bool, send func([]byte)) {
 	d.mu.Lock()
-	swallowed, delay := d.cut || answer && d.answersCut, d.delay
+	dropped, delay := d.cut || answer && d.answersCut, d.delay
 	d.mu.Unlock()
-	if swallowed {
+	if dropped {
 		return
 	}
 	b := append([]byte(nil), raw...)
@@ -101,21 +101,21 @@
 	time.AfterFunc(delay, func() { send(b) })
 }
 
-// SetCut cuts or heals the link.
+// SetCut cuts or restores the link.
 func (d *Datagrams) SetCut(cut bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.cut = cut
 }
 
-// SetAnswersCut cuts or heals the way back only.
+// SetAnswersCut cuts or restores the direction from the target only.
 func (d *Datagrams) SetAnswersCut(cut bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.answersCut = cut
 }
 
-// Close ends the link.
+// Close closes the sockets of the link.
 func (d *Datagrams) Close() {
 	close(d.done)
 	_ = d.in.Close()
--- a/internal/standin/network/link.go
+++ b/internal/standin/network/link.go
@@ -1,5 +1,5 @@
-// Package network stands in for the network between processes on one machine: links that
-// forward connections and datagrams, and can be cut, cut one way, delayed, silenced or reset.
+// Package network simulates the network between processes on one machine. Its links forward
+// connections and datagrams and can be cut in one or both directions, delayed, silenced or reset.
 package network
 
 import (
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// Link forwards TCP connections to a target until it is cut. A cut link is silent, as a
-// network that drops packets: connections open and nothing comes. Safe for concurrent use.
+// Link forwards TCP connections to a target unless it is cut. A cut link behaves like a network
+// that drops packets: connections open, but no data arrives. It is safe for concurrent use.
 type Link struct {
 	faults
 	target   string
 	listener net.Listener
-	// silent are connections that deliver nothing any more, though new ones do.
+	// silent holds the connections that Silence stopped; new connections still deliver.
 	silent map[net.Conn]bool
 	conns  map[net.Conn]net.Conn
 }
 
-// faults are what is wrong with a link.
+// faults holds the active faults of a link.
 type faults struct {
 	mu  sync.Mutex
 	cut bool
-	// answersCut: only what comes back is swallowed.
+	// answersCut is set when only data from the target is dropped.
 	answersCut bool
 	delay      time.Duration
 }
 
-// NewLink listens on a loopback address of its own.
+// NewLink listens on a free loopback port.
 func NewLink(target string) (*Link, error) { return NewLinkAt(target, "127.0.0.1:0") }
 
 // NewLinkAt listens on the address, ip:port.
@@ -43,7 +43,7 @@
 	return l, nil
 }
 
-// Address is where the link takes connections.
+// Address returns the address on which the link accepts connections.
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
 func (l *Link) serve() {
@@ -52,11 +52,11 @@
 		if err != nil {
 			return
 		}
-		go l.join(c)
+		go l.serveConn(c)
 	}
 }
 
-func (l *Link) join(c net.Conn) {
+func (l *Link) serveConn(c net.Conn) {
 	out, err := net.Dial("tcp", l.target)
 	if err != nil {
 		c.Close()
@@ -65,8 +65,8 @@
 	l.mu.Lock()
 	l.conns[c] = out
 	l.mu.Unlock()
-	go l.copy(out, c, func() bool { return l.swallows(c, false) })
-	l.copy(c, out, func() bool { return l.swallows(c, true) })
+	go l.copy(out, c, func() bool { return l.drops(c, false) })
+	l.copy(c, out, func() bool { return l.drops(c, true) })
 	c.Close()
 	out.Close()
 	l.mu.Lock()
@@ -75,50 +75,51 @@
 	l.mu.Unlock()
 }
 
-// swallows reports whether what a connection carries, or what is answered on it, is lost.
-func (l *Link) swallows(c net.Conn, answers bool) bool {
+// drops reports whether data on connection c is dropped: data from the target if answers is
+// set, otherwise data to it.
+func (l *Link) drops(c net.Conn, answers bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.cut || l.silent[c] || answers && l.answersCut
 }
 
-// copy forwards until the end, but for what is to be swallowed.
-func (l *Link) copy(to io.WriteCloser, from io.Reader, swallows func() bool) {
+// copy forwards data until the connection ends and discards it while drops returns true.
+func (l *Link) copy(to io.WriteCloser, from io.Reader, drops func() bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
 		if err != nil {
-			if !swallows() {
+			if !drops() {
 				to.Close()
 			}
 			return
 		}
-		if swallows() {
+		if drops() {
 			continue
 		}
-		time.Sleep(l.delayed())
+		time.Sleep(l.currentDelay())
 		if _, err := to.Write(buf[:n]); err != nil {
 			return
 		}
 	}
 }
 
-// delayed is how long what comes is held back, one way.
-func (f *faults) delayed() time.Duration {
+// currentDelay returns the delay in each direction.
+func (f *faults) currentDelay() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.delay
 }
 
-// SetDelay holds back what comes, one way.
+// SetDelay sets the delay in each direction.
 func (f *faults) SetDelay(delay time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.delay = delay
 }
 
-// SetCut cuts or heals the link. Bytes swallowed while it was cut are missing
-// from their streams, so healing ends the connections of that time.
+// SetCut cuts or restores the link. Bytes dropped while it was cut are missing
+// from their streams, so restoring it closes the open connections.
 func (l *Link) SetCut(cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -128,7 +129,8 @@
 	l.cut = cut
 }
 
-// SetAnswersCut cuts or heals the way back only.
+// SetAnswersCut cuts or restores the direction from the target only. Restoring it closes the
+// open connections, as in SetCut.
 func (l *Link) SetAnswersCut(cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -138,7 +140,7 @@
 	l.answersCut = cut
 }
 
-// Silence has the open connections deliver nothing any more, without a reset.
+// Silence makes the open connections drop all data without closing them.
 func (l *Link) Silence() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -147,14 +149,14 @@
 	}
 }
 
-// Reset breaks the open connections.
+// Reset closes the open connections.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closeAll()
 }
 
-// closeAll closes the open connections; the caller holds the lock.
+// closeAll closes the open connections. The caller must hold l.mu.
 func (l *Link) closeAll() {
 	for in, out := range l.conns {
 		in.Close()
@@ -162,7 +164,7 @@
 	}
 }
 
-// Close ends the link.
+// Close closes the listener and the open connections.
 func (l *Link) Close() {
 	l.listener.Close()
 	l.Reset()
