--- a/internal/standin/platformd/server.go
+++ b/internal/standin/platformd/server.go
@@ -1,5 +1,6 @@
-// Package platformd serves the platform's stand-in over Twirp, with faults on
-// command: latency, outages and answers lost after the change took effect.
+// Package platformd serves a stand-in for the platform over Twirp. It injects
+// faults on request: latency, outages, lost answers to commits that took effect,
+// and outdated VM lists.
 package platformd
 
 import (
@@ -18,33 +19,35 @@
 	"github.com/buckthornshore/buckthornshore/rpc/platformpb"
 )
 
-// Server is the stand-in.
+// Server is a stand-in for the platform.
 type Server struct {
 	mem    *platform.Memory
 	reads  atomic.Uint64
 	writes atomic.Uint64
 
-	mu     sync.Mutex
-	faults []*platformpb.Fault
-	random *rand.Rand
-	lists  []datedList
+	mu        sync.Mutex
+	faults    []*platformpb.Fault
+	random    *rand.Rand
+	snapshots []listSnapshot
 }
 
-// datedList is the VM list as it was, so that an older one can be served.
-type datedList struct {
+// listSnapshot is the VM list at a point in time, kept to serve outdated lists.
+type listSnapshot struct {
 	at  time.Time
 	vms []topology.VM
 }
 
-// maxDatedLists bounds the memory that the lagging list costs.
-const maxDatedLists = 1024
+// maxListSnapshots limits the memory that the snapshots use.
+const maxListSnapshots = 1024
 
-// New returns a stand-in over mem; seed decides which answers are lost.
+// New returns a stand-in that stores its data in mem. seed determines which answers
+// are lost.
 func New(mem *platform.Memory, seed uint64) *Server {
 	return &Server{mem: mem, random: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// Handler serves both the platform and the stand-in's own service.
+// Handler returns a handler for both the platform service and the StandIn service,
+// which controls the faults.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	p := platformpb.NewPlatformServer(s)
@@ -54,7 +57,7 @@
 	return mux
 }
 
-// faultFor merges the faults that apply to caller.
+// faultFor returns the combination of all faults that apply to caller.
 func (s *Server) faultFor(caller string) *platformpb.Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,8 +74,9 @@
 	return merged
 }
 
-// enter applies latency and outage.
-func (s *Server) enter(ctx context.Context, caller string) (*platformpb.Fault, error) {
+// applyFaults delays or fails a request according to the faults for caller, which
+// it returns.
+func (s *Server) applyFaults(ctx context.Context, caller string) (*platformpb.Fault, error) {
 	f := s.faultFor(caller)
 	if f.LatencyMs > 0 {
 		select {
@@ -87,7 +91,7 @@
 	return f, nil
 }
 
-func (s *Server) loses(f *platformpb.Fault) bool {
+func (s *Server) losesAnswer(f *platformpb.Fault) bool {
 	if f.LostAnswers <= 0 {
 		return false
 	}
@@ -98,7 +102,7 @@
 
 // Scan implements platformpb.Platform.
 func (s *Server) Scan(ctx context.Context, req *platformpb.ScanRequest) (*platformpb.ScanResponse, error) {
-	if _, err := s.enter(ctx, req.Caller); err != nil {
+	if _, err := s.applyFaults(ctx, req.Caller); err != nil {
 		return nil, err
 	}
 	s.reads.Add(1)
@@ -106,12 +110,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return &platformpb.ScanResponse{Rows: rowsTo(rows), Revision: revision}, nil
+	return &platformpb.ScanResponse{Rows: rowsToProto(rows), Revision: revision}, nil
 }
 
 // Commit implements platformpb.Platform.
 func (s *Server) Commit(ctx context.Context, req *platformpb.CommitRequest) (*platformpb.CommitResponse, error) {
-	f, err := s.enter(ctx, req.Caller)
+	f, err := s.applyFaults(ctx, req.Caller)
 	if err != nil {
 		return nil, err
 	}
@@ -127,15 +131,15 @@
 	if err != nil {
 		return nil, err
 	}
-	if s.loses(f) {
+	if s.losesAnswer(f) {
 		return nil, twirp.NewError(twirp.Unavailable, "answer lost")
 	}
-	return &platformpb.CommitResponse{Committed: out.Committed, Revision: out.Revision, Conflicts: rowsTo(out.Conflicts)}, nil
+	return &platformpb.CommitResponse{Committed: out.Committed, Revision: out.Revision, Conflicts: rowsToProto(out.Conflicts)}, nil
 }
 
 // Put implements platformpb.Platform.
 func (s *Server) Put(ctx context.Context, req *platformpb.PutRequest) (*platformpb.PutResponse, error) {
-	if _, err := s.enter(ctx, req.Caller); err != nil {
+	if _, err := s.applyFaults(ctx, req.Caller); err != nil {
 		return nil, err
 	}
 	s.writes.Add(1)
@@ -144,7 +148,7 @@
 
 // Get implements platformpb.Platform.
 func (s *Server) Get(ctx context.Context, req *platformpb.GetRequest) (*platformpb.GetResponse, error) {
-	if _, err := s.enter(ctx, req.Caller); err != nil {
+	if _, err := s.applyFaults(ctx, req.Caller); err != nil {
 		return nil, err
 	}
 	s.reads.Add(1)
@@ -152,9 +156,10 @@
 	return &platformpb.GetResponse{Found: found, Blob: blob}, err
 }
 
-// List implements platformpb.Platform. It serves the list as it was ListLagMs ago.
+// List implements platformpb.Platform. It returns the list as it was ListLagMs
+// milliseconds ago.
 func (s *Server) List(ctx context.Context, req *platformpb.ListRequest) (*platformpb.ListResponse, error) {
-	f, err := s.enter(ctx, req.Caller)
+	f, err := s.applyFaults(ctx, req.Caller)
 	if err != nil {
 		return nil, err
 	}
@@ -177,7 +182,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var vms []topology.VM
-	for _, l := range s.lists {
+	for _, l := range s.snapshots {
 		if l.at.After(at) {
 			break
 		}
@@ -188,7 +193,7 @@
 
 // Register implements platformpb.Platform.
 func (s *Server) Register(ctx context.Context, req *platformpb.RegisterRequest) (*platformpb.RegisterResponse, error) {
-	if _, err := s.enter(ctx, req.Vm.GetId()); err != nil {
+	if _, err := s.applyFaults(ctx, req.Vm.GetId()); err != nil {
 		return nil, err
 	}
 	if req.Vm == nil {
@@ -203,9 +208,9 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lists = append(s.lists, datedList{at: time.Now(), vms: vms})
-	if len(s.lists) > maxDatedLists {
-		s.lists = s.lists[len(s.lists)-maxDatedLists:]
+	s.snapshots = append(s.snapshots, listSnapshot{at: time.Now(), vms: vms})
+	if len(s.snapshots) > maxListSnapshots {
+		s.snapshots = s.snapshots[len(s.snapshots)-maxListSnapshots:]
 	}
 	return &platformpb.RegisterResponse{}, nil
 }
@@ -223,7 +228,7 @@
 	return &platformpb.StatsResponse{Reads: s.reads.Load(), Writes: s.writes.Load()}, nil
 }
 
-func rowsTo(rows []platform.Row) []*platformpb.Row {
+func rowsToProto(rows []platform.Row) []*platformpb.Row {
 	out := make([]*platformpb.Row, 0, len(rows))
 	for _, r := range rows {
 		out = append(out, &platformpb.Row{Key: r.Key, Value: r.Value, Revision: r.Revision, Deleted: r.Deleted})
