--- a/internal/standin/soak/soak.go
+++ b/internal/standin/soak/soak.go
@@ -1,4 +1,4 @@
-// Package soak brings faults about in any order, some at a time, from a seed.
+// Package soak injects faults into a deployment, chosen from a seeded random source.
 package soak
 
 import (
@@ -11,23 +11,25 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Fault brings one about in a deployment and returns what ends it.
+// Fault is a fault that Bring injects into a deployment. The returned function
+// ends it.
 type Fault[D any] struct {
 	Name  string
 	Bring func(D) (heal func())
 }
 
 const (
-	// open bounds how many faults are open at once: with more, a group of three databases has
-	// none left, and nothing is promised.
-	open = 2
-	// shortestPause is between two steps, each of which begins a fault or ends one, and
-	// furtherPause what may be added to it, in milliseconds.
-	shortestPause = 100
-	furtherPause  = 1500
+	// maxActive is the maximum number of concurrent faults: with more, a group of three
+	// databases may have none left, and no guarantee holds.
+	maxActive = 2
+	// minPauseMs is the minimum pause between two steps, each of which begins or ends a fault;
+	// a random time below extraPauseMs is added to it. Both are in milliseconds.
+	minPauseMs   = 100
+	extraPauseMs = 1500
 )
 
-// Play brings faults about for the time, then ends them all. It returns their names.
+// Play injects random faults for the given length, then ends all of them. It returns the
+// names of the injected faults in order.
 func Play[D any](deployment D, faults []Fault[D], random *rand.Rand, length time.Duration) (names []string) {
 	var healing []func()
 	heal := func() {
@@ -36,14 +38,14 @@
 		end()
 	}
 	for end := time.Now().Add(length); time.Now().Before(end); {
-		if len(healing) >= open || len(healing) > 0 && random.IntN(3) == 0 {
+		if len(healing) >= maxActive || len(healing) > 0 && random.IntN(3) == 0 {
 			heal()
 		} else {
 			f := faults[random.IntN(len(faults))]
 			names = append(names, f.Name)
 			healing = append(healing, f.Bring(deployment))
 		}
-		time.Sleep(time.Duration(shortestPause+random.IntN(furtherPause)) * time.Millisecond)
+		time.Sleep(time.Duration(minPauseMs+random.IntN(extraPauseMs)) * time.Millisecond)
 	}
 	for len(healing) > 0 {
 		heal()
@@ -51,10 +53,10 @@
 	return names
 }
 
-// Seeds reads "3" or "3-9".
+// Seeds parses a seed, such as "3", or an inclusive range of seeds, such as "3-9".
 func Seeds(text string) ([]uint64, error) {
-	first, last, ranged := strings.Cut(text, "-")
-	if !ranged {
+	first, last, isRange := strings.Cut(text, "-")
+	if !isRange {
 		last = first
 	}
 	from, err := strconv.ParseUint(first, 10, 64)
@@ -72,7 +74,7 @@
 	return all, nil
 }
 
-// Setting returns a variable of the environment, or the usual value if it is not set.
+// Setting returns the value of an environment variable, or usual if it is not set or empty.
 func Setting(name, usual string) string {
 	if v := os.Getenv(name); v != "" {
 		return v
