--- a/internal/integration/soak_test.go
+++ b/internal/integration/soak_test.go
@@ -59,32 +59,32 @@
 func (s *soak) primary() *process { return s.databases[s.row().Primary] }
 
 var faults = []faultsoak.Fault[*soak]{
-	{Name: "a proxy is killed", Bring: func(s *soak) func() {
+	{Name: "a proxy is killed", Inject: func(s *soak) func() {
 		p := s.proxy()
 		return s.strike(p, p.kill, p.start)
 	}},
-	{Name: "a proxy stops in order", Bring: func(s *soak) func() {
+	{Name: "a proxy stops in order", Inject: func(s *soak) func() {
 		p := s.proxy()
 		return s.strike(p, func() { p.stop() }, p.start)
 	}},
-	{Name: "a proxy stands still", Bring: func(s *soak) func() {
+	{Name: "a proxy stands still", Inject: func(s *soak) func() {
 		p := s.proxy()
 		return s.strike(p, p.freeze, p.thaw)
 	}},
-	{Name: "the primary stands still", Bring: func(s *soak) func() {
+	{Name: "the primary stands still", Inject: func(s *soak) func() {
 		p := s.primary()
 		return s.strike(p, p.freeze, p.thaw)
 	}},
-	{Name: "the primary is killed", Bring: func(s *soak) func() {
+	{Name: "the primary is killed", Inject: func(s *soak) func() {
 		p := s.primary()
 		return s.strike(p, p.kill, p.start)
 	}},
-	{Name: "a data centre is cut off, silently", Bring: func(s *soak) func() {
+	{Name: "a data centre is cut off, silently", Inject: func(s *soak) func() {
 		dc := s.dataCentre()
 		s.cutBetween(dc, anywhere, true)
 		return func() { s.cutBetween(dc, anywhere, false) }
 	}},
-	{Name: "a data centre hears nothing, and is heard", Bring: func(s *soak) func() {
+	{Name: "a data centre hears nothing, and is heard", Inject: func(s *soak) func() {
 		dc := s.dataCentre()
 		deafen := func(cut bool) {
 			for _, l := range s.links {
@@ -96,7 +96,7 @@
 		deafen(true)
 		return func() { deafen(false) }
 	}},
-	{Name: "connections between data centres are reset", Bring: func(s *soak) func() {
+	{Name: "connections between data centres are reset", Inject: func(s *soak) func() {
 		for _, l := range s.links {
 			if s.random.IntN(2) == 0 {
 				l.Reset()
@@ -104,7 +104,7 @@
 		}
 		return func() {}
 	}},
-	{Name: "open connections fall silent, new ones work", Bring: func(s *soak) func() {
+	{Name: "open connections fall silent, new ones work", Inject: func(s *soak) func() {
 		for _, l := range s.links {
 			if s.random.IntN(2) == 0 {
 				l.Silence()
@@ -112,11 +112,11 @@
 		}
 		return func() {}
 	}},
-	{Name: "the ways between data centres are slow", Bring: func(s *soak) func() {
+	{Name: "the ways between data centres are slow", Inject: func(s *soak) func() {
 		s.delayLinks(time.Duration(20+s.random.IntN(100)) * time.Millisecond)
 		return func() { s.delayLinks(0) }
 	}},
-	{Name: "the platform is out", Bring: func(s *soak) func() {
+	{Name: "the platform is out", Inject: func(s *soak) func() {
 		s.platformDown(true)
 		return func() { s.platformDown(false) }
 	}},
@@ -128,9 +128,9 @@
 	// silenced or reset, two faults at a time. Whatever the order: what was acknowledged is
 	// there at the end, and once the faults are over everybody is served again.
 	It("lose nothing that was acknowledged and end with them", func() {
-		seconds, err := strconv.Atoi(faultsoak.Setting("BTS_SOAK_SECONDS", fmt.Sprint(soakSeconds)))
+		seconds, err := strconv.Atoi(faultsoak.EnvOr("BTS_SOAK_SECONDS", fmt.Sprint(soakSeconds)))
 		Expect(err).NotTo(HaveOccurred())
-		seeds, err := faultsoak.Seeds(faultsoak.Setting("BTS_SOAK_SEEDS", soakSeeds))
+		seeds, err := faultsoak.ParseSeeds(faultsoak.EnvOr("BTS_SOAK_SEEDS", soakSeeds))
 		Expect(err).NotTo(HaveOccurred())
 		for _, seed := range append(seeds, failedSeeds...) {
 			playSeed(seed, time.Duration(seconds)*time.Second)
@@ -145,7 +145,7 @@
 	for i := range s.proxies {
 		writers = append(writers, s.startWriter(i, "landing-report", fmt.Sprintf("soak-%d-%d", seed, i)))
 	}
-	s.log = faultsoak.Play(s, faults, s.random, length)
+	s.log = faultsoak.Run(s, faults, s.random, length)
 	over := time.Now()
 	acked := 0
 	for i, w := range writers {
--- a/internal/standin/soak/soak.go
+++ b/internal/standin/soak/soak.go
@@ -11,11 +11,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Fault is a fault that Bring injects into a deployment. The returned function
+// Fault is a fault that Inject starts in a deployment. The returned function
 // ends it.
 type Fault[D any] struct {
-	Name  string
-	Bring func(D) (heal func())
+	Name   string
+	Inject func(D) (heal func())
 }
 
 const (
@@ -28,9 +28,9 @@
 	extraPauseMs = 1500
 )
 
-// Play injects random faults for the given length, then ends all of them. It returns the
+// Run injects random faults for the given length, then ends all of them. It returns the
 // names of the injected faults in order.
-func Play[D any](deployment D, faults []Fault[D], random *rand.Rand, length time.Duration) (names []string) {
+func Run[D any](deployment D, faults []Fault[D], random *rand.Rand, length time.Duration) (names []string) {
 	var healing []func()
 	heal := func() {
 		end := healing[0]
@@ -43,7 +43,7 @@
 		} else {
 			f := faults[random.IntN(len(faults))]
 			names = append(names, f.Name)
-			healing = append(healing, f.Bring(deployment))
+			healing = append(healing, f.Inject(deployment))
 		}
 		time.Sleep(time.Duration(minPauseMs+random.IntN(extraPauseMs)) * time.Millisecond)
 	}
@@ -53,8 +53,8 @@
 	return names
 }
 
-// Seeds parses a seed, such as "3", or an inclusive range of seeds, such as "3-9".
-func Seeds(text string) ([]uint64, error) {
+// ParseSeeds parses a seed, such as "3", or an inclusive range of seeds, such as "3-9".
+func ParseSeeds(text string) ([]uint64, error) {
 	first, last, isRange := strings.Cut(text, "-")
 	if !isRange {
 		last = first
@@ -74,8 +74,8 @@
 	return all, nil
 }
 
-// Setting returns the value of an environment variable, or usual if it is not set or empty.
-func Setting(name, usual string) string {
+// EnvOr returns the value of an environment variable, or usual if it is not set or empty.
+func EnvOr(name, usual string) string {
 	if v := os.Getenv(name); v != "" {
 		return v
 	}
