--- a/internal/standin/database/bench_test.go
+++ b/internal/standin/database/bench_test.go
@@ -41,7 +41,7 @@
 		}
 		group.Go(func() {
 			<-start
-			statements(b, c, fmt.Sprint("key", i), b.N/connections)
+			runStatements(b, c, fmt.Sprint("key", i), b.N/connections)
 		})
 	}
 	b.ResetTimer()
@@ -50,7 +50,7 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "statements/s")
 }
 
-func statements(b *testing.B, c *pgx.Conn, key string, n int) {
+func runStatements(b *testing.B, c *pgx.Conn, key string, n int) {
 	for j := range n {
 		sql, args := "select v from t where k = $1", []any{key}
 		if j%2 == 0 {
--- a/internal/standin/database/wait.go
+++ b/internal/standin/database/wait.go
@@ -51,9 +51,9 @@
 	})
 }
 
-func notReplicated(e Entry, missing []string, why string) error {
+func notReplicated(e Entry, missing []string, reason string) error {
 	return sqlError(CodeNotReplicated, "committed at %s but not acknowledged by %s: %s",
-		e.Position(), strings.Join(missing, ","), why)
+		e.Position(), strings.Join(missing, ","), reason)
 }
 
 // missingAcks returns the replicas that have not acknowledged e, a channel that
--- a/internal/standin/soak/soak.go
+++ b/internal/standin/soak/soak.go
@@ -61,11 +61,11 @@
 	}
 	from, err := strconv.ParseUint(first, 10, 64)
 	if err != nil {
-		return nil, errors.Wrapf(err, "seeds %q", text)
+		return nil, errors.Wrapf(err, "invalid seeds %q", text)
 	}
 	to, err := strconv.ParseUint(last, 10, 64)
 	if err != nil {
-		return nil, errors.Wrapf(err, "seeds %q", text)
+		return nil, errors.Wrapf(err, "invalid seeds %q", text)
 	}
 	var all []uint64
 	for seed := from; seed <= to; seed++ {
@@ -74,10 +74,10 @@
 	return all, nil
 }
 
-// EnvOr returns the value of an environment variable, or usual if it is not set or empty.
-func EnvOr(name, usual string) string {
+// EnvOr returns the value of an environment variable, or fallback if it is not set or empty.
+func EnvOr(name, fallback string) string {
 	if v := os.Getenv(name); v != "" {
 		return v
 	}
-	return usual
+	return fallback
 }
