--- a/internal/standin/database/bench_test.go
+++ b/internal/standin/database/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/buckthornshore/buckthornshore/internal/standin/database"
 )
 
-// BenchmarkStatements measures statements without statement time: half reads,
-// half writes, on one connection and on as many as a database takes.
+// BenchmarkStatements measures the statement rate with a statement time of 0:
+// half reads, half writes, on 1 connection and on 16, the default limit.
 func BenchmarkStatements(b *testing.B) {
 	for _, connections := range []int{1, 16} {
 		b.Run(fmt.Sprintf("connections=%d", connections), func(b *testing.B) {
@@ -41,7 +41,7 @@
 		}
 		group.Go(func() {
 			<-start
-			statements(b, c, fmt.Sprint("key", i), b.N/connections)
+			runStatements(b, c, fmt.Sprint("key", i), b.N/connections)
 		})
 	}
 	b.ResetTimer()
@@ -50,7 +50,7 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "statements/s")
 }
 
-func statements(b *testing.B, c *pgx.Conn, key string, n int) {
+func runStatements(b *testing.B, c *pgx.Conn, key string, n int) {
 	for j := range n {
 		sql, args := "select v from t where k = $1", []any{key}
 		if j%2 == 0 {
