--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -66,9 +66,9 @@
 // Target is a database as described by its own registration.
 type Target struct {
 	topology.Target
-	// ReportsPrimary is set when the database reports that it is the primary.
-	ReportsPrimary bool
-	Slots          int
+	// ClaimsPrimary is set when the database reports that it is the primary.
+	ClaimsPrimary bool
+	Slots         int
 	// Registration is the key of the database's registration. A database that restarts under the
 	// same key is a different target: nothing agreed with the earlier process holds for it.
 	Registration string
--- a/internal/directory/kept.go
+++ b/internal/directory/kept.go
@@ -9,14 +9,14 @@
 	"github.com/buckthornshore/buckthornshore/pkg/metastore"
 )
 
-// Kept is a snapshot of a feed: its rows as of a version of the store.
-type Kept struct {
+// Snapshot is a snapshot of a feed: its rows as of a version of the store.
+type Snapshot struct {
 	Version uint64          `msgpack:"v"`
 	Rows    []metastore.Row `msgpack:"r"`
 }
 
 // Size returns approximately how many bytes the rows take in a message.
-func (k *Kept) Size() int {
+func (k *Snapshot) Size() int {
 	size := 0
 	for _, r := range k.Rows {
 		size += len(r.Key) + len(r.Value) + rowOverhead
@@ -28,7 +28,7 @@
 type Neighbours interface {
 	// Fetch returns the rows of a feed as of the version or a later one. It returns false if no
 	// neighbour has them; the caller then asks the store.
-	Fetch(ctx context.Context, f Feed, version uint64) (Kept, bool)
+	Fetch(ctx context.Context, f Feed, version uint64) (Snapshot, bool)
 }
 
 // SetSnapshot stores a snapshot of a feed for other VMs to ask for: all its rows as of a version.
@@ -38,7 +38,7 @@
 	if version < r.snapshots[f].Version {
 		return
 	}
-	r.snapshots[f] = Kept{Version: version, Rows: slices.DeleteFunc(slices.Clone(rows), func(r metastore.Row) bool { return r.Deleted })}
+	r.snapshots[f] = Snapshot{Version: version, Rows: slices.DeleteFunc(slices.Clone(rows), func(r metastore.Row) bool { return r.Deleted })}
 	r.wake()
 }
 
@@ -57,13 +57,13 @@
 			rows = append(rows, c)
 		}
 	}
-	r.snapshots[f] = Kept{Version: version, Rows: rows}
+	r.snapshots[f] = Snapshot{Version: version, Rows: rows}
 	r.wake()
 }
 
 // AwaitSnapshot waits until this VM has the rows of a feed as of the version or a later one, and
 // returns them. It returns false if ctx ends first.
-func (r *Relay) AwaitSnapshot(ctx context.Context, f Feed, version uint64) (Kept, bool) {
+func (r *Relay) AwaitSnapshot(ctx context.Context, f Feed, version uint64) (Snapshot, bool) {
 	const pollPeriod = time.Second // Each change ends the wait early.
 	for {
 		r.mu.Lock()
--- a/internal/directory/neighbours_test.go
+++ b/internal/directory/neighbours_test.go
@@ -17,10 +17,10 @@
 	asked atomic.Int32
 }
 
-func (n *fakeNeighbour) Fetch(ctx context.Context, f directory.Feed, version uint64) (directory.Kept, bool) {
+func (n *fakeNeighbour) Fetch(ctx context.Context, f directory.Feed, version uint64) (directory.Snapshot, bool) {
 	n.asked.Add(1)
 	if n.relay == nil {
-		return directory.Kept{}, false
+		return directory.Snapshot{}, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
--- a/internal/directory/relay.go
+++ b/internal/directory/relay.go
@@ -91,7 +91,7 @@
 	started chan struct{}
 	changed chan struct{}
 	// snapshots holds the rows of whole feeds for other VMs to ask for.
-	snapshots map[Feed]Kept
+	snapshots map[Feed]Snapshot
 }
 
 // feedState is what a VM has received of a feed and can report.
@@ -120,7 +120,7 @@
 }
 
 func newRelay() *Relay {
-	return &Relay{news: News{}, confirmedAt: map[Feed]mono.Time{}, previous: map[Feed]report{}, feedState: map[Feed]*feedState{}, changed: make(chan struct{}), started: make(chan struct{}), snapshots: map[Feed]Kept{}}
+	return &Relay{news: News{}, confirmedAt: map[Feed]mono.Time{}, previous: map[Feed]report{}, feedState: map[Feed]*feedState{}, changed: make(chan struct{}), started: make(chan struct{}), snapshots: map[Feed]Snapshot{}}
 }
 
 // NoteListing records that this VM has listed all rows of a feed as of a version, and whether that
--- a/internal/forward/rows.go
+++ b/internal/forward/rows.go
@@ -30,8 +30,8 @@
 
 // rowsResponse answers a rowsRequest.
 type rowsResponse struct {
-	Kept    directory.Kept `msgpack:"k"`
-	Failure *result.Error  `msgpack:"f"`
+	Snapshot directory.Snapshot `msgpack:"k"`
+	Failure  *result.Error      `msgpack:"f"`
 }
 
 // Neighbours gets changes of the store from other VMs of the data centre.
@@ -40,10 +40,10 @@
 }
 
 // Fetch implements directory.Neighbours.
-func (n Neighbours) Fetch(ctx context.Context, f directory.Feed, version uint64) (directory.Kept, bool) {
+func (n Neighbours) Fetch(ctx context.Context, f directory.Feed, version uint64) (directory.Snapshot, bool) {
 	source, ok := placement.ChangeSource(n.Directory.Self(), n.Directory.VMs(), version)
 	if !ok {
-		return directory.Kept{}, false
+		return directory.Snapshot{}, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, rowsTimeout)
 	defer cancel()
@@ -51,12 +51,12 @@
 	return kept, err == nil && kept.Version >= version
 }
 
-func fetchRows(ctx context.Context, address string, r rowsRequest) (directory.Kept, error) {
+func fetchRows(ctx context.Context, address string, r rowsRequest) (directory.Snapshot, error) {
 	dialer := target.Dialer()
 	dialer.Timeout = holderTimeout
 	nc, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return directory.Kept{}, err
+		return directory.Snapshot{}, err
 	}
 	defer nc.Close()
 	target.LimitSilence(nc)
@@ -64,16 +64,16 @@
 	_ = nc.SetDeadline(deadline)  // If the connection is closed, the next call fails.
 	s := newStream(nc)
 	if err := s.send(openRequest{Rows: &r}); err != nil {
-		return directory.Kept{}, err
+		return directory.Snapshot{}, err
 	}
 	var a rowsResponse
 	if err := s.receive(&a); err != nil {
-		return directory.Kept{}, err
+		return directory.Snapshot{}, err
 	}
 	if a.Failure != nil {
-		return directory.Kept{}, a.Failure
+		return directory.Snapshot{}, a.Failure
 	}
-	return a.Kept, nil
+	return a.Snapshot, nil
 }
 
 // sendRows answers a request for rows from those that this VM keeps.
@@ -81,7 +81,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), rowsHoldTimeout)
 	defer cancel()
 	kept, ok := s.Directory.Relay().AwaitSnapshot(ctx, r.Feed, r.Version)
-	a := rowsResponse{Kept: kept}
+	a := rowsResponse{Snapshot: kept}
 	switch {
 	case !ok:
 		a = rowsResponse{Failure: result.New(result.NotFound, "version %d has not come", r.Version)}
--- a/internal/gatewayd/watch.go
+++ b/internal/gatewayd/watch.go
@@ -22,9 +22,9 @@
 const (
 	longestConfigurationWatch = 2500 * time.Millisecond
 	longestTargetWatch        = 4 * time.Second
-	// longestConfigurationRest is the longest pause of the configuration's watch after a change, so
+	// longestConfigurationDelay is the longest pause of the configuration's watch after a change, so
 	// that changes in close succession are fetched together.
-	longestConfigurationRest = 700 * time.Millisecond
+	longestConfigurationDelay = 700 * time.Millisecond
 	// coordinatorWatch is how long a coordinator's watches of the configuration and of the
 	// registrations wait. A change ends the wait at once. The other VMs trust what the coordinator
 	// distributes for two seconds after an answer of the store, so a wait of this length is in time
@@ -42,7 +42,7 @@
 		Wait: func() time.Duration { return d.watchWait(longestConfigurationWatch) },
 		Feed: directory.Configurations, Relay: d.Directory.Relay(),
 		Neighbours:  forward.Neighbours{Directory: d.Directory},
-		ChangeDelay: func() time.Duration { return min(d.Lead.WatchRest(), longestConfigurationRest) },
+		ChangeDelay: func() time.Duration { return min(d.Lead.WatchDelay(), longestConfigurationDelay) },
 		All: func(rows []metastore.Row, at directory.Timing) bool {
 			changed := false
 			for _, r := range rows {
@@ -84,7 +84,7 @@
 		Store: d.Store, Table: platform.TargetTable, Clock: d.Clock, Log: d.Log,
 		Wait: func() time.Duration { return d.watchWait(longestTargetWatch) },
 		Feed: directory.Registrations, Relay: d.Directory.Relay(),
-		ChangeDelay: d.Lead.WatchRest,
+		ChangeDelay: d.Lead.WatchDelay,
 		All: func(rows []metastore.Row, at directory.Timing) bool {
 			changed := false
 			listed := map[string]bool{}
@@ -126,11 +126,11 @@
 	changed := d.Directory.SetTarget(t)
 	if changed {
 		d.Log.Info("event=target_registered", "target", t.ID, "group", t.Group, "address", t.Address, "data_centre", t.DataCentre,
-			"leaving", t.Leaving, "claims_primary", t.ReportsPrimary, "superseded", t.Superseded, "row_version", r.Version)
+			"leaving", t.Leaving, "claims_primary", t.ClaimsPrimary, "superseded", t.Superseded, "row_version", r.Version)
 	}
 	// Which target claims to be the primary matters only to the VM that writes a group's first row, and
 	// that VM watches the store itself.
-	known.ReportsPrimary, known.LeavingSince = t.ReportsPrimary, t.LeavingSince
+	known.ClaimsPrimary, known.LeavingSince = t.ClaimsPrimary, t.LeavingSince
 	return changed && (!ok || known != t)
 }
 
--- a/internal/lead/cluster_test.go
+++ b/internal/lead/cluster_test.go
@@ -342,7 +342,7 @@
 	}
 	d := directory.New(self)
 	for _, t := range []topology.TargetID{"a", "b", "c"} {
-		d.SetTarget(directory.Target{Target: topology.Target{ID: t, Group: group}, ReportsPrimary: t == "a"})
+		d.SetTarget(directory.Target{Target: topology.Target{ID: t, Group: group}, ClaimsPrimary: t == "a"})
 	}
 	transport, err := lead.Listen(self.PeerAddress, log)
 	if err != nil {
--- a/internal/lead/digest_test.go
+++ b/internal/lead/digest_test.go
@@ -36,7 +36,7 @@
 	newLead := func(id topology.VMID) *Lead {
 		d := directory.New(topology.VM{ID: id, Incarnation: 1})
 		for i := range groups {
-			d.SetTarget(directory.Target{Target: topology.Target{ID: targetNumber(i), Group: groupNumber(i)}, ReportsPrimary: true})
+			d.SetTarget(directory.Target{Target: topology.Target{ID: targetNumber(i), Group: groupNumber(i)}, ClaimsPrimary: true})
 		}
 		l := New(Options{Directory: d, Clock: clock, Health: fakeHealth{clock: clock, failing: targetNumber(1)}})
 		l.connectedSince = clock.Now().Add(-time.Minute)
--- a/internal/lead/firstrow.go
+++ b/internal/lead/firstrow.go
@@ -145,7 +145,7 @@
 
 func (l *Lead) selfReportedPrimary(group topology.GroupID) (topology.Target, bool) {
 	for _, t := range l.Directory.TargetsOf(group) {
-		if t.ReportsPrimary {
+		if t.ClaimsPrimary {
 			return t.Target, true
 		}
 	}
--- a/internal/lead/firstrow_test.go
+++ b/internal/lead/firstrow_test.go
@@ -21,7 +21,7 @@
 		for i := range groups {
 			id := topology.TargetID(fmt.Sprintf("t%d", i))
 			v.directory.SetTarget(directory.Target{
-				Target: topology.Target{ID: id, Group: topology.GroupID(fmt.Sprintf("g%d", i))}, ReportsPrimary: true,
+				Target: topology.Target{ID: id, Group: topology.GroupID(fmt.Sprintf("g%d", i))}, ClaimsPrimary: true,
 			})
 			c.databases.lead(id)
 		}
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -225,7 +225,7 @@
 	watcher := &directory.Watcher{
 		Store: l.Store, Table: Table, Clock: l.Clock, Log: l.Log,
 		All: l.applyListing, Change: l.applyChange, Seen: l.storeAnswered, Wait: l.watchWait,
-		ChangeDelay: l.WatchRest, Feed: directory.OwnRows, Relay: l.Directory.Relay(),
+		ChangeDelay: l.WatchDelay, Feed: directory.OwnRows, Relay: l.Directory.Relay(),
 	}
 	go watcher.Run(ctx)
 	go l.Transport.Serve(ctx, l.handle)
@@ -253,10 +253,10 @@
 	return l.Directory.WatchWait(longestWatch)
 }
 
-// WatchRest returns how long watches pause after a change. A coordinator's pause is short: as long
+// WatchDelay returns how long watches pause after a change. A coordinator's pause is short: as long
 // as too few witnesses answer it, its promises rely on its own reads, and it relays the changes of
 // targets to the other VMs.
-func (l *Lead) WatchRest() time.Duration {
+func (l *Lead) WatchDelay() time.Duration {
 	pause := l.Directory.ChangeDelay()
 	if l.Coordinates() {
 		return min(pause, coordinatorWatchPause)
--- a/internal/lead/lead_test.go
+++ b/internal/lead/lead_test.go
@@ -57,7 +57,7 @@
 	c.databases.index["a"] = 12 // Ahead of the replicas.
 	c.databases.mu.Unlock()
 	for _, v := range c.vms {
-		v.directory.SetTarget(directory.Target{Target: topology.Target{ID: "a", Group: group, Leaving: true}, ReportsPrimary: true})
+		v.directory.SetTarget(directory.Target{Target: topology.Target{ID: "a", Group: group, Leaving: true}, ClaimsPrimary: true})
 	}
 	c.eventually(3*time.Second, "every VM has the right for b", func() bool { return c.allRight("b") })
 	if end := c.row().History[0].End.Index; end != 12 {
--- a/internal/lead/place_cores_test.go
+++ b/internal/lead/place_cores_test.go
@@ -36,7 +36,7 @@
 		}
 		d := directory.New(self)
 		d.SetVMs([]topology.VM{self, other})
-		d.SetTarget(directory.Target{Target: topology.Target{ID: "a", Group: "g", DataCentre: "dc-1"}, ReportsPrimary: true})
+		d.SetTarget(directory.Target{Target: topology.Target{ID: "a", Group: "g", DataCentre: "dc-1"}, ClaimsPrimary: true})
 		l := New(Options{Directory: d, Clock: clock})
 		row := rowNumber(0)
 		row.Group, row.Primary, row.Coordinator = "g", "a", "self"
--- a/internal/lead/place_test.go
+++ b/internal/lead/place_test.go
@@ -46,7 +46,7 @@
 	coordinator := c.awaitRights()
 	for _, v := range c.vms {
 		v.directory.SetTarget(directory.Target{
-			Target: topology.Target{ID: "a", Group: group, DataCentre: topology.DataCentre("dc-" + string(coordinator))}, ReportsPrimary: true,
+			Target: topology.Target{ID: "a", Group: group, DataCentre: topology.DataCentre("dc-" + string(coordinator))}, ClaimsPrimary: true,
 		})
 	}
 	held := time.Now()
@@ -91,7 +91,7 @@
 		break
 	}
 	for _, v := range c.vms {
-		v.directory.SetTarget(directory.Target{Target: topology.Target{ID: "x", Group: other}, ReportsPrimary: true})
+		v.directory.SetTarget(directory.Target{Target: topology.Target{ID: "x", Group: other}, ClaimsPrimary: true})
 	}
 	c.eventually(8*time.Second, "one coordinator", func() bool {
 		for _, v := range c.vms {
--- a/internal/lead/rank_test.go
+++ b/internal/lead/rank_test.go
@@ -21,8 +21,8 @@
 		for i := range 90 {
 			d.SetVM(vmNumber(i))
 		}
-		d.SetTarget(directory.Target{Target: topology.Target{ID: "p", Group: "g", DataCentre: "dc-1"}, ReportsPrimary: true})
-		d.SetTarget(directory.Target{Target: topology.Target{ID: "q", Group: "h", DataCentre: "dc-2"}, ReportsPrimary: true})
+		d.SetTarget(directory.Target{Target: topology.Target{ID: "p", Group: "g", DataCentre: "dc-1"}, ClaimsPrimary: true})
+		d.SetTarget(directory.Target{Target: topology.Target{ID: "q", Group: "h", DataCentre: "dc-2"}, ClaimsPrimary: true})
 		l := &Lead{Options: Options{Directory: d}, self: vmNumber(self), holder: lease.NewHolder()}
 		if in := vmNumber(self).DataCentre; in != "dc-0" {
 			shortest = min(shortest, l.takeoverDelay("vm-0"))
--- a/internal/lead/reading_test.go
+++ b/internal/lead/reading_test.go
@@ -58,7 +58,7 @@
 	row := &lease.Row{Group: "g", Version: 1, Term: 1, Primary: "a", Coordinator: "vm-1", Incarnation: 1, Fence: 1}
 	mustPut(t, store, groupPrefix+"g", row, 0)
 	d := directory.New(self)
-	d.SetTarget(directory.Target{Target: topology.Target{ID: "a", Group: "g"}, ReportsPrimary: true})
+	d.SetTarget(directory.Target{Target: topology.Target{ID: "a", Group: "g"}, ClaimsPrimary: true})
 	l := New(Options{Directory: d, Store: store, Clock: mono.System{}, Log: slog.New(slog.DiscardHandler)})
 	return l, store
 }
--- a/internal/lead/restart_test.go
+++ b/internal/lead/restart_test.go
@@ -17,7 +17,7 @@
 	c.databases.mu.Unlock()
 	for _, v := range c.vms {
 		old, _ := v.directory.Target(from)
-		old.ID, old.Started, old.ReportsPrimary = to, old.Started+1, primary
+		old.ID, old.Started, old.ClaimsPrimary = to, old.Started+1, primary
 		v.directory.SetTarget(old)
 	}
 }
--- a/internal/lead/takeover_test.go
+++ b/internal/lead/takeover_test.go
@@ -55,7 +55,7 @@
 	}
 	store := &writeCounter{Store: memory}
 	d := directory.New(self)
-	d.SetTarget(directory.Target{Target: topology.Target{ID: "a", Group: "g"}, ReportsPrimary: true})
+	d.SetTarget(directory.Target{Target: topology.Target{ID: "a", Group: "g"}, ClaimsPrimary: true})
 	l := New(Options{Directory: d, Store: store, Clock: mono.System{}, Log: slog.New(slog.DiscardHandler)})
 	l.holder.Adopt(known)
 	l.takeOver(ctx, "vm-1", []topology.GroupID{"g"}, storeLost)
--- a/internal/lead/traffic_test.go
+++ b/internal/lead/traffic_test.go
@@ -92,7 +92,7 @@
 		for g := range groups {
 			for _, x := range []string{"a", "b", "c"} {
 				target := topology.Target{ID: topology.TargetID(fmt.Sprintf("t-%d-%s", g, x)), Group: topology.GroupID(fmt.Sprint("g-", g))}
-				d.SetTarget(directory.Target{Target: target, ReportsPrimary: x == "a"})
+				d.SetTarget(directory.Target{Target: target, ClaimsPrimary: x == "a"})
 			}
 		}
 		transport, err := lead.Listen(self.PeerAddress, log)
