--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -135,7 +135,7 @@
 	}
 }
 
-// Guards against a departure whose start moves with each report of it, or is later than it was.
+// Guards against a LeavingSince that moves with each report, or is later than the target began to leave.
 func TestLeavingSinceIsWhenTheTargetWasLastKnownToStay(t *testing.T) {
 	d := New(topology.VM{})
 	report := func(leaving bool, upToDateAt mono.Time) {
--- a/internal/directory/kept.go
+++ b/internal/directory/kept.go
@@ -16,9 +16,9 @@
 }
 
 // Size returns approximately how many bytes the rows take in a message.
-func (k *Snapshot) Size() int {
+func (s *Snapshot) Size() int {
 	size := 0
-	for _, r := range k.Rows {
+	for _, r := range s.Rows {
 		size += len(r.Key) + len(r.Value) + rowOverhead
 	}
 	return size
@@ -27,11 +27,11 @@
 // Neighbours gives access to nearby VMs, which may already have read a change from the store.
 type Neighbours interface {
 	// Fetch returns the rows of a feed as of the version or a later one. It returns false if no
-	// neighbour has them; the caller then asks the store.
+	// neighbour has them; the caller then reads them from the store.
 	Fetch(ctx context.Context, f Feed, version uint64) (Snapshot, bool)
 }
 
-// SetSnapshot stores a snapshot of a feed for other VMs to ask for: all its rows as of a version.
+// SetSnapshot stores a snapshot of a feed for other VMs to request: all its rows as of a version.
 func (r *Relay) SetSnapshot(f Feed, rows []metastore.Row, version uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -46,11 +46,11 @@
 func (r *Relay) UpdateSnapshot(f Feed, changes []metastore.Row, version uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	k, ok := r.snapshots[f]
-	if !ok || version < k.Version {
+	s, ok := r.snapshots[f]
+	if !ok || version < s.Version {
 		return
 	}
-	rows := slices.Clone(k.Rows)
+	rows := slices.Clone(s.Rows)
 	for _, c := range changes {
 		rows = slices.DeleteFunc(rows, func(r metastore.Row) bool { return r.Key == c.Key })
 		if !c.Deleted {
@@ -67,13 +67,13 @@
 	const pollPeriod = time.Second // Each change ends the wait early.
 	for {
 		r.mu.Lock()
-		k, changed := r.snapshots[f], r.changed
+		s, changed := r.snapshots[f], r.changed
 		r.mu.Unlock()
-		if k.Version >= version && version != 0 {
-			return k, true
+		if s.Version >= version && version != 0 {
+			return s, true
 		}
 		if ctx.Err() != nil {
-			return k, false
+			return s, false
 		}
 		wait.Until(ctx, changed, pollPeriod)
 	}
--- a/internal/directory/neighbours_test.go
+++ b/internal/directory/neighbours_test.go
@@ -11,7 +11,7 @@
 	"github.com/buckthornshore/buckthornshore/pkg/mono"
 )
 
-// fakeNeighbour is another VM of the data centre, with the rows that relay keeps, or none if relay is nil.
+// fakeNeighbour is another VM of the data centre, with the snapshots of relay, or none if relay is nil.
 type fakeNeighbour struct {
 	relay *directory.Relay
 	asked atomic.Int32
@@ -47,7 +47,7 @@
 		t.Fatalf("%d calls to the store", n)
 	}
 	if snapshot, ok := relay.AwaitSnapshot(t.Context(), directory.Registrations, 1); !ok || len(snapshot.Rows) != 1 {
-		t.Fatalf("keeps %+v for others", snapshot)
+		t.Fatalf("the snapshot for other VMs is %+v", snapshot)
 	}
 }
 
--- a/internal/directory/relay.go
+++ b/internal/directory/relay.go
@@ -49,8 +49,8 @@
 	// takes the place of a silent coordinator, so that a change of the coordinator does not make
 	// every VM ask the store for all feeds.
 	newsValidity = 1200 * time.Millisecond
-	// newsWait is how long after a listing, which shows everything, a VM waits for news before it
-	// watches the store itself.
+	// newsWait is how long after a listing of all rows a VM waits for news before it watches the
+	// store itself.
 	newsWait = 700 * time.Millisecond
 	// maxAnswerAge is how long ago the store may have answered a VM's watch for the VM to report on
 	// the feed: the wait of a coordinator's watch, its pause after a change, and the response time
@@ -69,11 +69,11 @@
 )
 
 // Relay saves VMs their own watches of the store. The coordinator, which has to watch the store
-// anyway, reports with each promise up to which version there are relevant changes, and includes
-// small changes as rows. A VM fetches other changes from the store itself, and watches the store as
-// soon as it receives no news. A VM whose calls the store rejects still learns of changes. Most
-// changes in the store are heartbeats of the targets, for which every VM would otherwise call
-// again. It is safe for concurrent use.
+// anyway, reports with each promise the version of the newest relevant change, and includes small
+// changes as rows. These reports are called news. A VM fetches other changes from the store itself,
+// and watches the store when no valid news is left. A VM whose calls the store rejects still receives
+// changes. Most changes in the store are heartbeats of the targets, for which every VM would
+// otherwise call the store again. It is safe for concurrent use.
 type Relay struct {
 	mu sync.Mutex
 	// news is what a coordinator last reported on each feed, and confirmedAt when the message was
@@ -85,12 +85,13 @@
 	// feedState is what this VM itself has received of each feed.
 	feedState map[Feed]*feedState
 	// publishing is set while this VM coordinates and the others rely on its news. coordinatorKnown
-	// is set once some VM is known to coordinate, so that this one may wait for news.
+	// is set once some VM is known to coordinate, so that this VM may wait for news.
 	publishing, coordinatorKnown bool
 	// started is closed while publishing is set.
 	started chan struct{}
+	// changed is closed and replaced when Await or AwaitSnapshot may have something to return.
 	changed chan struct{}
-	// snapshots holds the rows of whole feeds for other VMs to ask for.
+	// snapshots holds all rows of the feeds that VMs fetch from each other.
 	snapshots map[Feed]Snapshot
 }
 
@@ -128,15 +129,15 @@
 func (r *Relay) NoteListing(f Feed, version uint64, isNew bool, now mono.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n := &feedState{relevant: version, seen: version, answeredAt: now, listedAt: now}
+	s := &feedState{relevant: version, seen: version, answeredAt: now, listedAt: now}
 	if was := r.feedState[f]; was != nil {
-		n.watchableFrom = was.watchableFrom
+		s.watchableFrom = was.watchableFrom
 		if !isNew {
-			n.relevant = was.relevant
+			s.relevant = was.relevant
 		}
 	}
-	n.since = n.relevant
-	r.feedState[f] = n
+	s.since = s.relevant
+	r.feedState[f] = s
 }
 
 // NoteChanges records the relevant changes up to the version seen, as returned by a watch of this
@@ -144,19 +145,19 @@
 func (r *Relay) NoteChanges(f Feed, seen uint64, rows []metastore.Row, writtenAfter, now mono.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if n := r.feedState[f]; n != nil {
-		n.add(seen, rows, writtenAfter, now)
-		n.answeredAt = now
+	if s := r.feedState[f]; s != nil {
+		s.add(seen, rows, writtenAfter, now)
+		s.answeredAt = now
 	}
 }
 
-// NoteReceived records the same for changes received from another VM. They alone do not make this VM
-// report on the feed, but it knows the changes if it becomes the coordinator.
+// NoteReceived records, as NoteChanges does, changes that were received from another VM. They alone
+// do not make this VM report on the feed, but it has the changes if it becomes the coordinator.
 func (r *Relay) NoteReceived(f Feed, seen uint64, rows []metastore.Row, writtenAfter, now mono.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if n := r.feedState[f]; n != nil {
-		n.add(seen, rows, writtenAfter, now)
+	if s := r.feedState[f]; s != nil {
+		s.add(seen, rows, writtenAfter, now)
 	}
 }
 
@@ -166,37 +167,37 @@
 func (r *Relay) NoteTooLarge(f Feed, seen uint64, now mono.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if n := r.feedState[f]; n != nil {
-		n.relevant = max(n.relevant, seen+1)
-		n.since, n.recent = n.relevant, nil
-		n.answeredAt, n.watchableFrom = now, seen+1
+	if s := r.feedState[f]; s != nil {
+		s.relevant = max(s.relevant, seen+1)
+		s.since, s.recent = s.relevant, nil
+		s.answeredAt, s.watchableFrom = now, seen+1
 	}
 }
 
-func (n *feedState) add(seen uint64, rows []metastore.Row, writtenAfter, now mono.Time) {
-	n.seen = max(n.seen, seen)
+func (s *feedState) add(seen uint64, rows []metastore.Row, writtenAfter, now mono.Time) {
+	s.seen = max(s.seen, seen)
 	for _, row := range rows {
-		if row.Version > n.relevant {
-			n.relevant = row.Version
+		if row.Version > s.relevant {
+			s.relevant = row.Version
 			// Only the newest version of a row is of use.
-			n.recent = slices.DeleteFunc(n.recent, func(r recentRow) bool { return r.Key == row.Key })
-			n.recent = append(n.recent, recentRow{Row: row, receivedAt: now, writtenAfter: writtenAfter})
+			s.recent = slices.DeleteFunc(s.recent, func(r recentRow) bool { return r.Key == row.Key })
+			s.recent = append(s.recent, recentRow{Row: row, receivedAt: now, writtenAfter: writtenAfter})
 		}
 	}
-	n.trim(now)
+	s.trim(now)
 }
 
 // trim drops the rows that were sent for long enough, and the oldest ones if there are too many to send.
-func (n *feedState) trim(now mono.Time) {
+func (s *feedState) trim(now mono.Time) {
 	size := 0
-	for _, row := range n.recent {
+	for _, row := range s.recent {
 		size += len(row.Key) + len(row.Value) + rowOverhead
 	}
-	for len(n.recent) > 0 && (size > maxNewsBytes || now.Sub(n.recent[0].receivedAt) > rowRetention) {
-		first := n.recent[0]
+	for len(s.recent) > 0 && (size > maxNewsBytes || now.Sub(s.recent[0].receivedAt) > rowRetention) {
+		first := s.recent[0]
 		size -= len(first.Key) + len(first.Value) + rowOverhead
-		n.since = first.Version
-		n.recent = n.recent[1:]
+		s.since = first.Version
+		s.recent = s.recent[1:]
 	}
 }
 
@@ -208,8 +209,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	followed := make(Followed, len(r.feedState))
-	for f, n := range r.feedState {
-		followed[f] = n.seen
+	for f, s := range r.feedState {
+		followed[f] = s.seen
 	}
 	return followed
 }
@@ -220,22 +221,22 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	news := News{}
-	for f, n := range r.feedState {
-		if now.Sub(n.answeredAt) >= maxAnswerAge {
+	for f, s := range r.feedState {
+		if now.Sub(s.answeredAt) >= maxAnswerAge {
 			continue
 		}
-		n.trim(now)
-		t := FeedNews{Relevant: n.relevant, Seen: n.seen, WatchableFrom: n.watchableFrom}
-		if len(n.recent) > 0 {
-			t.Since = n.since
+		s.trim(now)
+		item := FeedNews{Relevant: s.relevant, Seen: s.seen, WatchableFrom: s.watchableFrom}
+		if len(s.recent) > 0 {
+			item.Since = s.since
 		}
-		for _, row := range n.recent {
+		for _, row := range s.recent {
 			if row.Version > followed[f] {
-				t.Rows = append(t.Rows, row.Row)
-				t.Age = max(t.Age, now.Sub(row.writtenAfter))
+				item.Rows = append(item.Rows, row.Row)
+				item.Age = max(item.Age, now.Sub(row.writtenAfter))
 			}
 		}
-		news[f] = t
+		news[f] = item
 	}
 	return news
 }
@@ -293,15 +294,15 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	isNew := false
-	for f, t := range news {
-		if was := r.news[f].Relevant; t.Relevant > was {
+	for f, item := range news {
+		if was := r.news[f].Relevant; item.Relevant > was {
 			isNew = true
 			r.previous[f] = report{relevant: was, confirmedAt: r.confirmedAt[f]}
 		}
-		if t.Age > 0 {
-			t.writtenAfter = sent.Add(-t.Age)
+		if item.Age > 0 {
+			item.writtenAfter = sent.Add(-item.Age)
 		}
-		r.news[f], r.confirmedAt[f] = t, max(r.confirmedAt[f], sent)
+		r.news[f], r.confirmedAt[f] = item, max(r.confirmedAt[f], sent)
 	}
 	if isNew {
 		r.wake()
@@ -311,7 +312,7 @@
 // Action is what a watcher that follows a feed up to a version does next.
 type Action uint8
 
-// The kinds of advice.
+// The actions.
 const (
 	// Watch is returned when no VM can report on the feed.
 	Watch Action = iota
@@ -348,10 +349,10 @@
 		r.mu.Lock()
 		news, validUntil, changed := r.news[f], r.confirmedAt[f].Add(newsValidity), r.changed
 		publishing, answeredAt, waitUntil := r.publishing, mono.Time(0), mono.Time(0)
-		if n := r.feedState[f]; n != nil {
-			answeredAt = n.answeredAt
+		if s := r.feedState[f]; s != nil {
+			answeredAt = s.answeredAt
 			if r.coordinatorKnown {
-				waitUntil = n.listedAt.Add(newsWait)
+				waitUntil = s.listedAt.Add(newsWait)
 			}
 		}
 		r.mu.Unlock()
--- a/internal/forward/rows.go
+++ b/internal/forward/rows.go
@@ -47,8 +47,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, rowsTimeout)
 	defer cancel()
-	kept, err := fetchRows(ctx, source.PeerAddress, rowsRequest{Feed: f, Version: version})
-	return kept, err == nil && kept.Version >= version
+	snapshot, err := fetchRows(ctx, source.PeerAddress, rowsRequest{Feed: f, Version: version})
+	return snapshot, err == nil && snapshot.Version >= version
 }
 
 func fetchRows(ctx context.Context, address string, r rowsRequest) (directory.Snapshot, error) {
@@ -76,17 +76,17 @@
 	return a.Snapshot, nil
 }
 
-// sendRows answers a request for rows from those that this VM keeps.
+// sendRows answers a request for rows from this VM's snapshot of the feed.
 func (s *Server) sendRows(nc net.Conn, peer *stream, r rowsRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), rowsHoldTimeout)
 	defer cancel()
-	kept, ok := s.Directory.Relay().AwaitSnapshot(ctx, r.Feed, r.Version)
-	a := rowsResponse{Snapshot: kept}
+	snapshot, ok := s.Directory.Relay().AwaitSnapshot(ctx, r.Feed, r.Version)
+	a := rowsResponse{Snapshot: snapshot}
 	switch {
 	case !ok:
 		a = rowsResponse{Failure: result.New(result.NotFound, "version %d has not come", r.Version)}
-	case kept.Size() > maxRowsBytes:
-		a = rowsResponse{Failure: result.New(result.MessageTooLarge, "%d bytes", kept.Size())}
+	case snapshot.Size() > maxRowsBytes:
+		a = rowsResponse{Failure: result.New(result.MessageTooLarge, "%d bytes", snapshot.Size())}
 	}
 	_ = nc.SetWriteDeadline(time.Now().Add(rowsTimeout))
 	if err := peer.send(a); err != nil {
--- a/internal/gateway/identity_test.go
+++ b/internal/gateway/identity_test.go
@@ -21,12 +21,12 @@
 		}
 		customers = append(customers, c)
 	}
-	register, err := customer.NewRegistry(customers)
+	registry, err := customer.NewRegistry(customers)
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	c := *f.directory.Configuration()
-	c.Version, c.Customers = version, register
+	c.Version, c.Customers = version, registry
 	public := c.Classes["newest"]
 	public.Database, public.Open = "public", true
 	c.Classes["public"] = public
--- a/internal/gateway/primary.go
+++ b/internal/gateway/primary.go
@@ -127,7 +127,7 @@
 		}
 		return noRight(right)
 	}
-	r.server.router.learnPrimary(right, begun, p)
+	r.server.router.recordPrimaryPosition(right, begun, p)
 	if r.writes {
 		r.floors.Raise(right.Group, p)
 	}
--- a/internal/gateway/read.go
+++ b/internal/gateway/read.go
@@ -156,7 +156,7 @@
 	if answer.Failure != nil {
 		return answer, answer.Failure
 	}
-	r.server.router.learn(r.class.Group, t.ID, answer.Position)
+	r.server.router.recordPosition(r.class.Group, t.ID, answer.Position)
 	answer.State = r.state()
 	return answer, nil
 }
--- a/internal/gateway/router.go
+++ b/internal/gateway/router.go
@@ -19,12 +19,12 @@
 
 const (
 	// sampleAge and sampleResolution are the maximum age and the resolution of the
-	// samples of the primaries' positions. The age covers the greatest staleness that
-	// classes use.
+	// samples of the primaries' positions, which show how old a read's data is at most.
+	// The age covers the greatest staleness that classes use.
 	sampleAge        = 10 * time.Second
 	sampleResolution = 50 * time.Millisecond
-	// refreshShare is the share of a read's staleness after which a position is
-	// renewed ahead of need.
+	// refreshShare is the share of a class's maximum staleness after which the primary's
+	// position is requested again, so that reads don't have to wait for it.
 	refreshShare = 0.6
 	// defaultServiceTime is the average time that a statement occupies a slot, assumed as
 	// long as none was measured.
@@ -63,7 +63,8 @@
 // groupView is what this VM knows of a group's log and outages.
 type groupView struct {
 	freshness *routing.Freshness
-	outages   [needCount]outage
+	// outages is indexed by what a request needs.
+	outages [needCount]outage
 	// sampling is closed when the pending request for a position ends; nil if none is
 	// pending.
 	sampling chan struct{}
@@ -96,8 +97,8 @@
 	return g
 }
 
-// choice is the target of a read, the position that it must hold, and the time until it is expected to
-// hold it.
+// choice is the target of a read, the position that it must hold, called floor, and the time until it
+// is expected to hold it.
 type choice struct {
 	pool    *target.Pool
 	floor   position.Position
@@ -222,7 +223,7 @@
 	begun := r.clock.Now()
 	p, err := link.Position(time.Now().Add(sampleTimeout))
 	if err == nil && r.rights.Confirm(right) {
-		r.learnPrimary(right, begun, p)
+		r.recordPrimaryPosition(right, begun, p)
 	}
 }
 
@@ -233,9 +234,9 @@
 	return r.view(group).freshness.Newest()
 }
 
-// learnPrimary records the primary's newest position, from the answer to a statement
+// recordPrimaryPosition records the primary's newest position, from the answer to a statement
 // that was sent at begun under a right that is still valid.
-func (r *router) learnPrimary(right lease.Right, begun mono.Time, p position.Position) {
+func (r *router) recordPrimaryPosition(right lease.Right, begun mono.Time, p position.Position) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	g := r.view(right.Group)
@@ -243,8 +244,8 @@
 	g.freshness.Learn(right.Primary, p, r.clock.Now())
 }
 
-// learn records the position that a target holds.
-func (r *router) learn(group topology.GroupID, id topology.TargetID, p position.Position) {
+// recordPosition records the position that a target holds.
+func (r *router) recordPosition(group topology.GroupID, id topology.TargetID, p position.Position) {
 	if p.IsZero() {
 		return
 	}
--- a/internal/gateway/transaction.go
+++ b/internal/gateway/transaction.go
@@ -102,9 +102,9 @@
 			return r.endFailed(aborted("the right for %s ended", tx.targetID))
 		}
 	} else if tx.needsRight {
-		r.server.router.learnPrimary(tx.right, begun, answer.Position)
+		r.server.router.recordPrimaryPosition(tx.right, begun, answer.Position)
 	} else {
-		r.server.router.learn(tx.class.Group, tx.targetID, answer.Position)
+		r.server.router.recordPosition(tx.class.Group, tx.targetID, answer.Position)
 	}
 	if r.st.Kind == statement.Commit {
 		r.committed(answer.Position)
--- a/internal/gatewayd/daemon.go
+++ b/internal/gatewayd/daemon.go
@@ -56,7 +56,7 @@
 			register,
 			newDirectory,
 			newPools,
-			newKeeper,
+			newLimiter,
 			newLead,
 			newServer,
 			newRunState,
@@ -116,7 +116,7 @@
 	}), nil
 }
 
-func newKeeper(s Settings, d *directory.Directory, clock mono.Clock) *limit.Limiter {
+func newLimiter(s Settings, d *directory.Directory, clock mono.Clock) *limit.Limiter {
 	policy := quota.Policy{Window: s.QuotaWindow.Std(), Excess: s.QuotaExcess, Slack: s.QuotaSlack}
 	return limit.NewLimiter(d, clock, policy)
 }
@@ -223,7 +223,9 @@
 
 func (d *daemon) ready() bool { return d.notReadyReason() == "" }
 
-// notReadyReason returns why the balancer must send no connections to this VM, or "" if it may.
+// notReadyReason returns why the balancer must send no connections to this VM, or "" if it may. A VM
+// that is out of touch still serves requests until its rights expire and it is cut off, but the
+// balancer must react before that.
 func (d *daemon) notReadyReason() string {
 	switch {
 	case d.State.leaving.Load():
@@ -238,9 +240,10 @@
 	return ""
 }
 
-// shedAfter is how long a VM must be out of touch before it sheds its sessions. The balancer
-// takes it out of rotation after one to two seconds. A caller that reconnects sooner is
-// refused as before; one that reconnects later is served by another VM with its next request.
+// shedAfter is how long a VM must be out of touch before it sheds its sessions. If its rights are not
+// renewed, they have expired by then, so that it is cut off and refuses requests. The balancer takes
+// it out of rotation after one to two seconds. A caller that reconnects sooner is refused as before;
+// one that reconnects later is served by another VM with its next request.
 const shedAfter = 1300 * time.Millisecond
 
 // touchCheckInterval is how often the daemon checks whether this VM is out of touch.
--- a/internal/lead/cutoff.go
+++ b/internal/lead/cutoff.go
@@ -10,12 +10,12 @@
 // of the coordinator takes some milliseconds, and reads of the store compensate for a failed one.
 const cutOffAfter = 200 * time.Millisecond
 
-// inTouchMargin is the minimum remaining lifetime of at least one right while this VM is in touch.
-// With less, two renewals and a read of the store have gone unanswered.
+// inTouchMargin is the remaining lifetime that at least one right must have, or this VM counts as out
+// of touch. With less, two renewals and a read of the store have gone unanswered.
 const inTouchMargin = 300 * time.Millisecond
 
-// updateCutOff checks whether this VM is cut off: it knows open rows, but neither their
-// coordinators nor the store renew any right. A closed row means that its primary is being
+// updateCutOff checks whether this VM is out of touch or cut off: it knows open rows, but neither
+// their coordinators nor the store renew any right. A closed row means that its primary is being
 // replaced, and the VM waits for that.
 func (l *Lead) updateCutOff(now mono.Time) {
 	open, held, inTouch := 0, 0, 0
@@ -59,9 +59,10 @@
 }
 
 // OutOfTouch reports whether no right has been renewed for longer than any change of a coordinator
-// takes. It is set before CutOff, while rights are still valid: the load balancer takes two seconds
-// to react, and without the earlier signal callers kept arriving at a data centre that was cut off
-// for that much longer.
+// takes. It differs from CutOff in that rights may still be valid: a VM that is out of touch reports
+// itself as not ready but still serves requests, and once it has held no right for cutOffAfter it is
+// cut off as well and refuses them. The load balancer takes two seconds to react, and without the
+// earlier signal callers kept arriving at a data centre that was cut off for that much longer.
 func (l *Lead) OutOfTouch() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,8 +70,9 @@
 }
 
 // CutOff reports whether this VM can neither acknowledge writes nor prove the age of reads, with no
-// known end. Other VMs serve its callers better, so it refuses them at once and reports itself as
-// not ready to the load balancer.
+// known end, as it has held no right for cutOffAfter. Other VMs serve its callers better, so it
+// refuses them at once. It is also out of touch, and so reports itself as not ready to the load
+// balancer.
 func (l *Lead) CutOff() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lead/duty.go
+++ b/internal/lead/duty.go
@@ -37,7 +37,7 @@
 type dutyState struct {
 	duty
 	version uint64
-	// read is when the newest read that returned it began, and seen is when this VM learnt of it.
+	// read is when the newest read that returned it began, and seen is when this VM learned of it.
 	read, seen mono.Time
 	// usableFrom is when this VM may start to send orders, provided that it holds the duty.
 	usableFrom mono.Time
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -1,5 +1,8 @@
 // Package lead carries out the decisions of pkg/lease: it renews this VM's rights, coordinates
 // groups, takes over from failed coordinators, and replaces primaries.
+//
+// Each group has a coordinator, but only the VM that holds the promotion duty may order promotions,
+// for all groups. The duty is a row of its own in the metadata store.
 package lead
 
 import (
@@ -41,7 +44,8 @@
 
 const (
 	tickPeriod = 50 * time.Millisecond
-	// renewPeriod allows two consecutive renewals to be lost before a right expires.
+	// renewPeriod is the time between two renewals of a right. It allows two consecutive renewals to
+	// be lost before the right expires.
 	renewPeriod = 250 * time.Millisecond
 	// readAhead is the remaining lifetime of a right below which, without a renewal, it is extended
 	// by reading the store.
@@ -141,12 +145,13 @@
 	lastMessage      map[topology.VMID]mono.Time // when each VM's last message arrived
 	// listeningSince is when this coordinator started to expect messages from each VM.
 	listeningSince map[topology.VMID]mono.Time
-	frozen         map[topology.GroupID]rowConfirmation
+	// frozen holds the latest confirmation of each closed row; see Frozen.
+	frozen map[topology.GroupID]rowConfirmation
 	// lastTakeover is when this VM last took groups over from each coordinator.
 	lastTakeover map[topology.VMID]mono.Time
 	// leavingVMs holds the incarnations of VMs that announced that they are leaving.
 	leavingVMs map[topology.VMID]topology.Incarnation
-	starved    map[topology.TargetID]mono.Time // until when some VM counts as short of connections
+	starved    map[topology.TargetID]mono.Time // until when some VM counts as short of connections to each target
 	storeSeen  mono.Time
 	// positions are shared with the other VMs, nil if none are; samples holds those that this VM
 	// sends.
@@ -154,8 +159,8 @@
 	samples   map[topology.GroupID]routing.Sample
 	// storeRegained is when a read of the store last succeeded after earlier ones had failed.
 	storeRegained mono.Time
-	// storeReported is when a coordinator last reported that it reaches the store. As long as it
-	// does, this VM does not query the store itself.
+	// storeReported is when a coordinator last reported that it reaches the store. As long as such
+	// reports arrive, this VM does not query the store itself.
 	storeReported mono.Time
 	reading       bool
 	lastRead      mono.Time
@@ -178,10 +183,13 @@
 	// was logged.
 	cutOffSince  mono.Time
 	cutOffLogged bool
-	// outOfTouch is set when no right has been renewed recently enough; see inTouchMargin.
+	// outOfTouch is set when no right has been renewed recently enough; see OutOfTouch. Unlike a VM
+	// that is cut off, one that is only out of touch still holds a right or has just lost it.
 	outOfTouch bool
-	leaving    bool
-	changed    chan struct{}
+	// leaving is set once this VM has begun to shut down.
+	leaving bool
+	// changed is closed and replaced to wake the callers that wait for a right.
+	changed chan struct{}
 }
 
 // renewalState tracks the renewals sent to one coordinator.
@@ -253,7 +261,7 @@
 	return l.Directory.WatchWait(longestWatch)
 }
 
-// WatchDelay returns how long watches pause after a change. A coordinator's pause is short: as long
+// WatchDelay returns how long a watch pauses after a change. A coordinator's pause is short: as long
 // as too few witnesses answer it, its promises rely on its own reads, and it relays the changes of
 // targets to the other VMs.
 func (l *Lead) WatchDelay() time.Duration {
--- a/internal/lead/lead_test.go
+++ b/internal/lead/lead_test.go
@@ -183,8 +183,8 @@
 	}
 }
 
-// A VM that loses the store and the coordinator detects that it is cut off, and later that it is
-// connected again.
+// A VM that loses the store and the coordinator reports that it is out of touch, which is before it
+// is cut off, then that it is cut off, and later that it is connected again.
 func TestAVMDetectsThatItIsCutOff(t *testing.T) {
 	c := startCluster(t, 3)
 	coordinator := c.awaitRights()
--- a/internal/lead/positions_test.go
+++ b/internal/lead/positions_test.go
@@ -15,15 +15,15 @@
 	renewed []topology.GroupID
 }
 
-func (k *fakePositions) Newest(group topology.GroupID) (routing.Sample, bool) {
-	s, ok := k.samples[group]
+func (p *fakePositions) Newest(group topology.GroupID) (routing.Sample, bool) {
+	s, ok := p.samples[group]
 	return s, ok
 }
 
-func (k *fakePositions) Add(group topology.GroupID, s routing.Sample) { k.samples[group] = s }
+func (p *fakePositions) Add(group topology.GroupID, s routing.Sample) { p.samples[group] = s }
 
-func (k *fakePositions) Renew(group topology.GroupID, _ time.Duration) {
-	k.renewed = append(k.renewed, group)
+func (p *fakePositions) Renew(group topology.GroupID, _ time.Duration) {
+	p.renewed = append(p.renewed, group)
 }
 
 // Guards against requests for positions from each VM to each primary, as many as the callers'
--- a/internal/lead/quota_test.go
+++ b/internal/lead/quota_test.go
@@ -14,12 +14,12 @@
 // startLimited starts VMs that limit one customer.
 func startLimited(t *testing.T, vms int, l customer.Limit) *cluster {
 	t.Helper()
-	register, err := customer.NewRegistry([]customer.Customer{{ID: limitedCustomer, Limit: l}})
+	registry, err := customer.NewRegistry([]customer.Customer{{ID: limitedCustomer, Limit: l}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := newCluster(t)
-	c.configuration = &directory.Configuration{Version: 1, Customers: register}
+	c.configuration = &directory.Configuration{Version: 1, Customers: registry}
 	c.startVMs(vms)
 	return c
 }
--- a/internal/lead/rank_test.go
+++ b/internal/lead/rank_test.go
@@ -42,7 +42,7 @@
 func TestAVMWithoutMessagesReportsNoCoordinatorReachable(t *testing.T) {
 	clock := &mono.Manual{T: mono.Time(time.Minute)}
 	l := New(Options{Directory: directory.New(vmNumber(1)), Clock: clock})
-	l.coordinatorState["vm-0"] = coordinatorState{last: clock.Now()} // As at the adoption of its row.
+	l.coordinatorState["vm-0"] = coordinatorState{lastAnswer: clock.Now()} // As at the adoption of its row.
 	if l.reachable("vm-0") {
 		t.Fatal("it reports a VM as reachable without any message from it")
 	}
--- a/internal/lead/rows.go
+++ b/internal/lead/rows.go
@@ -133,7 +133,7 @@
 	if former == nil || former.Coordinator != row.Coordinator {
 		// The coordinator is expected to send messages from now on. Judged by when it last
 		// coordinated, it would at once count as silent at all VMs.
-		l.coordinatorState[row.Coordinator] = coordinatorState{last: l.Clock.Now()}
+		l.coordinatorState[row.Coordinator] = coordinatorState{lastAnswer: l.Clock.Now()}
 	}
 	l.Log.Info("event=row_adopted", "group", row.Group, "version", row.Version, "term", row.Term, "primary", row.Primary,
 		"coordinator", row.Coordinator, "incarnation", row.Incarnation, "open", row.Open(), "from", from)
--- a/internal/lead/takeover.go
+++ b/internal/lead/takeover.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// silentAfter is how long a coordinator may leave renewals unanswered before it is suspected:
-	// two renewals were lost, and the rights are still valid.
+	// silentAfter is how long a coordinator may leave renewals unanswered before it is suspected. By
+	// then two renewals were lost, and the rights are still valid.
 	silentAfter = 600 * time.Millisecond
 	// reachableWindow is how recently a coordinator must have sent a message for a VM to report it
 	// as reachable.
@@ -22,7 +22,8 @@
 	// storeLostSlack is how much longer than its wait time a watch may take before the store counts
 	// as lost: one slow answer of the store and one retry.
 	storeLostSlack = 1700 * time.Millisecond
-	// opinionTimeout is how long to wait for opinions.
+	// opinionTimeout is how long to wait for the other VMs' opinions: their answers to the question
+	// whether they can reach a coordinator.
 	opinionTimeout = 150 * time.Millisecond
 	// opinionSample is the maximum number of VMs asked. A sample from all data centres is as
 	// informative as all VMs, each of which would have to answer every VM that asks.
@@ -50,7 +51,8 @@
 // coordinatorState records when a coordinator last answered a renewal, and whether it reached the
 // store then.
 type coordinatorState struct {
-	last mono.Time
+	// lastAnswer is initially when this VM adopted the row that names the coordinator.
+	lastAnswer mono.Time
 	// storeLostSince is the time since which the coordinator has answered without reaching the
 	// store; 0 if it reaches it. ownStoreSince is the time since which the store has answered this
 	// VM meanwhile.
@@ -60,7 +62,7 @@
 // noteAnswer records an answer of a coordinator.
 func (l *Lead) noteAnswer(vm topology.VMID, storeLost bool, now mono.Time) {
 	a := l.coordinatorState[vm]
-	a.last = now
+	a.lastAnswer = now
 	switch {
 	case !storeLost:
 		a.storeLostSince, a.ownStoreSince = 0, 0
@@ -102,7 +104,7 @@
 }
 
 // checkCoordinator decides whether to ask the other VMs about a coordinator or to take over from
-// it.
+// it, and returns the reason for a takeover, which is logged.
 func (l *Lead) checkCoordinator(vm topology.VMID, now mono.Time) (take, ask bool, reason string) {
 	if l.leaving {
 		return false, false, ""
@@ -114,19 +116,19 @@
 	}
 	a, known := l.coordinatorState[vm]
 	if !known {
-		l.coordinatorState[vm] = coordinatorState{last: now}
+		l.coordinatorState[vm] = coordinatorState{lastAnswer: now}
 		return false, false, ""
 	}
-	if a.storeLostSince == 0 && now.Sub(a.last) < silentAfter {
+	if a.storeLostSince == 0 && now.Sub(a.lastAnswer) < silentAfter {
 		return false, false, "" // The usual case, checked many times a second.
 	}
 	ownDelay := l.takeoverDelay(vm)
 	if a.storeLostSince != 0 && l.replaceWithoutStore(vm, ownDelay, now) {
-		l.coordinatorState[vm] = coordinatorState{last: now}
+		l.coordinatorState[vm] = coordinatorState{lastAnswer: now}
 		return true, false, storeLost
 	}
 	takeoverDelay := silentAfter + ownDelay
-	if now.Sub(max(a.last, l.storeRegained)) < takeoverDelay || now.Sub(l.storeSeen) > storeFreshness {
+	if now.Sub(max(a.lastAnswer, l.storeRegained)) < takeoverDelay || now.Sub(l.storeSeen) > storeFreshness {
 		return false, false, ""
 	}
 	s := l.inquiries[vm]
@@ -143,7 +145,7 @@
 // replaceWithoutStore reports whether to replace a coordinator that does not reach the store. Only
 // a VM that reaches the store itself does so. The coordinator's promises continue meanwhile, so the
 // VMs check the store one after the other, with long delays. If the store answers this VM again,
-// the coordinator gets time to report the same.
+// the coordinator gets storeRegainTime to report that it reaches the store as well.
 func (l *Lead) replaceWithoutStore(vm topology.VMID, ownDelay time.Duration, now mono.Time) bool {
 	a := l.coordinatorState[vm]
 	if now.Sub(a.storeLostSince) < silentAfter+storeLostDelayFactor*ownDelay {
@@ -164,11 +166,11 @@
 // from VMs that work well, and none of them could reach it as their coordinator.
 func (l *Lead) countOpinions(vm topology.VMID, s *inquiry, now mono.Time) (take, ask bool, reason string) {
 	if len(s.reachable) == 0 && 2*len(s.unreachable) >= s.sample {
-		l.coordinatorState[vm] = coordinatorState{last: now}
+		l.coordinatorState[vm] = coordinatorState{lastAnswer: now}
 		return true, false, "silent"
 	}
 	l.Log.Info("event=takeover_deferred", "coordinator", vm, "reachable", len(s.reachable), "unreachable", len(s.unreachable), "asked", s.sample,
-		"silent_for", now.Sub(l.coordinatorState[vm].last))
+		"silent_for", now.Sub(l.coordinatorState[vm].lastAnswer))
 	return false, false, ""
 }
 
@@ -184,7 +186,7 @@
 
 // reachable reports whether this VM has recently received messages from another VM. The adoption
 // of the VM as a coordinator does not count: a VM that has just started knows the coordinator from
-// the store only, and a silent coordinator stayed in place for seconds on its opinion alone.
+// the store only, and the opinion of one such VM kept a silent coordinator in place for seconds.
 func (l *Lead) reachable(vm topology.VMID) bool {
 	lastMessage := l.lastMessage[vm]
 	return lastMessage != 0 && l.Clock.Now().Sub(lastMessage) < reachableWindow
--- a/internal/lead/takeover_test.go
+++ b/internal/lead/takeover_test.go
@@ -143,7 +143,7 @@
 		d.SetVM(vmNumber(i))
 	}
 	l := New(Options{Directory: d, Clock: clock, Log: slog.New(slog.DiscardHandler), Transport: silentTransport(t)})
-	l.coordinatorState["vm-0"] = coordinatorState{last: clock.Now().Add(-time.Minute)}
+	l.coordinatorState["vm-0"] = coordinatorState{lastAnswer: clock.Now().Add(-time.Minute)}
 	l.storeSeen = clock.Now()
 	return l, clock
 }
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -34,35 +34,35 @@
 }
 
 // updateConfiguration applies the configuration in force if it has changed.
-func (k *Limiter) updateConfiguration() {
-	c := k.directory.Configuration()
-	if c == nil || c.Version == k.version {
+func (l *Limiter) updateConfiguration() {
+	c := l.directory.Configuration()
+	if c == nil || c.Version == l.version {
 		return
 	}
-	k.version = c.Version
-	k.limits = k.policy.LimitsOf(c.Customers)
-	k.names = map[quota.Tag]topology.CustomerID{}
+	l.version = c.Version
+	l.limits = l.policy.LimitsOf(c.Customers)
+	l.names = map[quota.Tag]topology.CustomerID{}
 	for _, id := range c.Customers.IDs() {
-		k.names[quota.TagOf(id)] = id
+		l.names[quota.TagOf(id)] = id
 	}
-	k.meter.Forget(k.limits)
+	l.meter.Forget(l.limits)
 }
 
 // Admit returns an error for an operation that would exceed its customer's limit. An admitted operation that
 // is known not to have run is given back with Return.
-func (k *Limiter) Admit(id topology.CustomerID) *result.Error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.updateConfiguration()
+func (l *Limiter) Admit(id topology.CustomerID) *result.Error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.updateConfiguration()
 	tag := quota.TagOf(id)
-	l, ok := k.limits[tag]
+	limit, ok := l.limits[tag]
 	if !ok {
 		return nil
 	}
-	k.meter.SetVMs(len(k.directory.VMs()))
-	wait, ok := k.meter.Admit(tag, l, k.clock.Now())
-	if k.meter.Urgent() {
-		k.signalUrgent()
+	l.meter.SetVMs(len(l.directory.VMs()))
+	wait, ok := l.meter.Admit(tag, limit, l.clock.Now())
+	if l.meter.Urgent() {
+		l.signalUrgent()
 	}
 	if ok {
 		return nil
@@ -70,61 +70,61 @@
 	return result.New(result.MemberLimit, "%s: its limit is reached", id).After(wait.Round(time.Millisecond))
 }
 
-func (k *Limiter) signalUrgent() {
+func (l *Limiter) signalUrgent() {
 	select {
-	case k.urgent <- struct{}{}:
+	case l.urgent <- struct{}{}:
 	default:
 	}
 }
 
 // Urgent returns a channel that gets a value when a report should be sent to the allocator at once.
-func (k *Limiter) Urgent() <-chan struct{} { return k.urgent }
+func (l *Limiter) Urgent() <-chan struct{} { return l.urgent }
 
 // Return gives back an operation that was admitted and is known not to have run.
-func (k *Limiter) Return(id topology.CustomerID) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if _, ok := k.limits[quota.TagOf(id)]; ok {
-		k.meter.Return(quota.TagOf(id))
+func (l *Limiter) Return(id topology.CustomerID) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if _, ok := l.limits[quota.TagOf(id)]; ok {
+		l.meter.Return(quota.TagOf(id))
 	}
 }
 
 // Limits returns the limits in force. The map must not be changed.
-func (k *Limiter) Limits() quota.Limits {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.updateConfiguration()
-	return k.limits
+func (l *Limiter) Limits() quota.Limits {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.updateConfiguration()
+	return l.limits
 }
 
 // Names returns the customers' names, for logs.
-func (k *Limiter) Names(tags []quota.Tag) []topology.CustomerID {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (l *Limiter) Names(tags []quota.Tag) []topology.CustomerID {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	names := make([]topology.CustomerID, 0, len(tags))
 	for _, t := range tags {
-		names = append(names, k.names[t])
+		names = append(names, l.names[t])
 	}
 	return names
 }
 
 // Report returns the usage since the last report.
-func (k *Limiter) Report() []quota.Usage {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.meter.Report()
+func (l *Limiter) Report() []quota.Usage {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.meter.Report()
 }
 
 // ApplyAnswer applies the allocator's answer to a report that was sent at sent.
-func (k *Limiter) ApplyAnswer(a *quota.Answer, sent mono.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.meter.ApplyAnswer(a, sent)
+func (l *Limiter) ApplyAnswer(a *quota.Answer, sent mono.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.meter.ApplyAnswer(a, sent)
 }
 
 // Near marks customers that have just come near their limits.
-func (k *Limiter) Near(tags []quota.Tag) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.meter.Near(tags)
+func (l *Limiter) Near(tags []quota.Tag) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.meter.Near(tags)
 }
--- a/internal/target/leaving.go
+++ b/internal/target/leaving.go
@@ -21,7 +21,7 @@
 // leaving is the state of a leaving target: until when it is sent new work, and its use since it was known
 // to be leaving.
 type leaving struct {
-	// knownSince is when this VM learnt that the target is leaving, or 0 if it isn't.
+	// knownSince is when this VM learned that the target is leaving, or 0 if it isn't.
 	knownSince mono.Time
 	// until is until when the target is sent new work. It is 0 if it isn't known since when the target has
 	// been leaving; it is then sent none.
--- a/internal/target/pool.go
+++ b/internal/target/pool.go
@@ -28,17 +28,17 @@
 	// surplusIdle is how long a connection beyond the first may be idle before it is closed.
 	// The most recently used connection is reused first, so those that the load doesn't need
 	// become idle. They are closed early because the connections of a VM that loses power
-	// occupy places at the target for several more seconds, in which its successors can't
-	// connect.
+	// count towards the target's limit for several more seconds, in which its successors
+	// can't connect.
 	surplusIdle = 250 * time.Millisecond
 	// silentAfter is how long the target may leave all commands unanswered before
 	// a new connection is dialled to probe it.
 	silentAfter = 250 * time.Millisecond
 	// indirectIdle is surplusIdle for connections that go through another VM.
 	indirectIdle = 15 * time.Second
-	// starvedFor is how long a VM counts as starved after a refusal, and yieldFor how long
-	// the other VMs then keep to their shares: a few rounds of the messages that report
-	// starved VMs.
+	// starvedFor is how long a VM counts as starved after the target refused it a connection
+	// of its share, and yieldFor how long the other VMs then keep to their shares: a few
+	// rounds of the messages that report starved VMs.
 	starvedFor = time.Second
 	yieldFor   = 2 * time.Second
 	// maxExtraLinks is how many connections beyond its share a VM may open while other
@@ -52,7 +52,8 @@
 	err  *result.Error
 }
 
-// Pool holds this VM's connections to one target. Safe for concurrent use.
+// Pool holds this VM's connections to one target. In an indirect pool they lead to holders, which are
+// the VMs that connect to the target directly; see the package comment. Safe for concurrent use.
 type Pool struct {
 	target topology.Target
 	driver Driver
@@ -61,11 +62,11 @@
 
 	mu    sync.Mutex
 	share int // the usual limit of this VM's open connections; see connectionLimit
-	// indirect is set if the connections go through another VM.
+	// indirect is set if the connections lead to holders.
 	indirect bool
 	// idleFor is how long a connection beyond the first may be idle.
 	idleFor time.Duration
-	// holderOf returns the VM through which a customer's requests go if the pool is indirect.
+	// holderOf returns the holder to which a customer's requests are sent if the pool is indirect.
 	holderOf func(topology.CustomerID) topology.VMID
 	links    map[*Link]bool
 	// idle contains the idle links, the most recently used last.
--- a/internal/target/pool_test.go
+++ b/internal/target/pool_test.go
@@ -372,17 +372,17 @@
 	opened int
 }
 
-func (b *holderDriver) Dial(context.Context, topology.Target, topology.CustomerID) (target.Conn, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.opened++
+func (d *holderDriver) Dial(context.Context, topology.Target, topology.CustomerID) (target.Conn, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.opened++
 	return &holderConn{fakeConn{target: &fakeTarget{}}}, nil
 }
 
-func (b *holderDriver) count() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.opened
+func (d *holderDriver) count() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.opened
 }
 
 // Guards against connections to holders that pile up while a target is unreachable. A VM may probe
--- a/internal/target/share.go
+++ b/internal/target/share.go
@@ -6,8 +6,8 @@
 type Share struct {
 	// Connections is the usual limit of the VM's open connections.
 	Connections int
-	// Indirect is set if the connections go through another VM. Such connections take no place at
-	// the target and may be idle for longer.
+	// Indirect is set if the connections go through another VM. Such connections do not count
+	// towards the target's limit and may be idle for longer.
 	Indirect bool
 }
 
--- a/pkg/lease/row.go
+++ b/pkg/lease/row.go
@@ -44,8 +44,9 @@
 	// MaxWitnesses bounds the witnesses in a row: enough that three of them may be
 	// lost, and few enough for a row that is sent to other VMs.
 	MaxWitnesses = 7
-	// maxHistory bounds the ends of earlier terms in a row: floors and samples
-	// are seconds old, so only the last few are looked up.
+	// maxHistory bounds the ends of earlier terms in a row. They are looked up for the
+	// floors of sessions and the samples of positions. These are seconds old, so only the
+	// last few terms matter.
 	maxHistory = 20
 )
 
@@ -68,19 +69,22 @@
 	// Ended is set if the previous coordinator had stopped giving promises when this one
 	// took over.
 	Ended bool `json:"ended,omitempty" msgpack:"e,omitempty"`
-	// Formers are earlier coordinators that may not have stopped. They are passed from
-	// one coordinator to the next until one knows that they have stopped: a second
-	// takeover soon after a first must wait for all of them.
+	// Formers are the former coordinators: earlier coordinators whose promises may still
+	// be valid. They are passed from one coordinator to the next until the last of these
+	// promises has lapsed: a second takeover soon after a first must wait for all of them.
 	Formers []Former `json:"formers,omitempty" msgpack:"o,omitempty"`
 	// Handover is set while the primary is being replaced; no VM has a right then.
-	Handover *Handover          `json:"handover,omitempty" msgpack:"h,omitempty"`
-	History  []topology.TermEnd `json:"history,omitempty" msgpack:"y,omitempty"`
+	Handover *Handover `json:"handover,omitempty" msgpack:"h,omitempty"`
+	// History holds the ends of the latest terms, the oldest first.
+	History []topology.TermEnd `json:"history,omitempty" msgpack:"y,omitempty"`
 }
 
-// Former is an earlier coordinator that may still give promises.
+// Former is a former coordinator: an earlier coordinator whose promises may still be valid.
+// It may even give new ones until it learns of the takeover or reaches CoordinatorLimit.
 type Former struct {
 	VM topology.VMID `json:"vm" msgpack:"c"`
-	// Version is the row version that replaced it as the coordinator.
+	// Version is the row version that replaced it as the coordinator, and Witnesses are its
+	// own witnesses, from the row before that.
 	Version   uint64          `json:"version" msgpack:"v"`
 	Witnesses []topology.VMID `json:"witnesses" msgpack:"w"`
 }
@@ -138,7 +142,7 @@
 	return n
 }
 
-// Settled returns the row without Formers, once all of them are known to have stopped.
+// Settled returns the row without Formers, once the promises of all of them have lapsed.
 func (r *Row) Settled() *Row {
 	n := *r
 	n.Formers = nil
--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -78,7 +78,7 @@
 // SetVMs sets the number of VMs.
 func (a *Allocator) SetVMs(n int) { a.vms = n }
 
-// Collects reports whether a report has been collected since the start or the last Stop.
+// Collects reports whether a report has been collected since the start or the last Reset.
 func (a *Allocator) Collects() bool { return a.collectingSince != 0 }
 
 // RecordReport processes a VM's report, and returns the customers that have come near their limits.
