--- a/internal/directory/neighbours_test.go
+++ b/internal/directory/neighbours_test.go
@@ -11,16 +11,16 @@
 	"github.com/buckthornshore/buckthornshore/pkg/mono"
 )
 
-// fakeNeighbour is another VM of the data centre, with the rows that relay keeps, or none if relay is nil.
+// fakeNeighbour is another VM of the data centre, with the snapshots of relay, or none if relay is nil.
 type fakeNeighbour struct {
 	relay *directory.Relay
 	asked atomic.Int32
 }
 
-func (n *fakeNeighbour) Fetch(ctx context.Context, f directory.Feed, version uint64) (directory.Kept, bool) {
+func (n *fakeNeighbour) Fetch(ctx context.Context, f directory.Feed, version uint64) (directory.Snapshot, bool) {
 	n.asked.Add(1)
 	if n.relay == nil {
-		return directory.Kept{}, false
+		return directory.Snapshot{}, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
@@ -47,7 +47,7 @@
 		t.Fatalf("%d calls to the store", n)
 	}
 	if snapshot, ok := relay.AwaitSnapshot(t.Context(), directory.Registrations, 1); !ok || len(snapshot.Rows) != 1 {
-		t.Fatalf("keeps %+v for others", snapshot)
+		t.Fatalf("the snapshot for other VMs is %+v", snapshot)
 	}
 }
 
--- a/internal/lead/rank_test.go
+++ b/internal/lead/rank_test.go
@@ -21,8 +21,8 @@
 		for i := range 90 {
 			d.SetVM(vmNumber(i))
 		}
-		d.SetTarget(directory.Target{Target: topology.Target{ID: "p", Group: "g", DataCentre: "dc-1"}, ReportsPrimary: true})
-		d.SetTarget(directory.Target{Target: topology.Target{ID: "q", Group: "h", DataCentre: "dc-2"}, ReportsPrimary: true})
+		d.SetTarget(directory.Target{Target: topology.Target{ID: "p", Group: "g", DataCentre: "dc-1"}, ClaimsPrimary: true})
+		d.SetTarget(directory.Target{Target: topology.Target{ID: "q", Group: "h", DataCentre: "dc-2"}, ClaimsPrimary: true})
 		l := &Lead{Options: Options{Directory: d}, self: vmNumber(self), holder: lease.NewHolder()}
 		if in := vmNumber(self).DataCentre; in != "dc-0" {
 			shortest = min(shortest, l.takeoverDelay("vm-0"))
@@ -42,7 +42,7 @@
 func TestAVMWithoutMessagesReportsNoCoordinatorReachable(t *testing.T) {
 	clock := &mono.Manual{T: mono.Time(time.Minute)}
 	l := New(Options{Directory: directory.New(vmNumber(1)), Clock: clock})
-	l.coordinatorState["vm-0"] = coordinatorState{last: clock.Now()} // As at the adoption of its row.
+	l.coordinatorState["vm-0"] = coordinatorState{lastAnswer: clock.Now()} // As at the adoption of its row.
 	if l.reachable("vm-0") {
 		t.Fatal("it reports a VM as reachable without any message from it")
 	}
--- a/internal/lead/takeover_test.go
+++ b/internal/lead/takeover_test.go
@@ -55,7 +55,7 @@
 	}
 	store := &writeCounter{Store: memory}
 	d := directory.New(self)
-	d.SetTarget(directory.Target{Target: topology.Target{ID: "a", Group: "g"}, ReportsPrimary: true})
+	d.SetTarget(directory.Target{Target: topology.Target{ID: "a", Group: "g"}, ClaimsPrimary: true})
 	l := New(Options{Directory: d, Store: store, Clock: mono.System{}, Log: slog.New(slog.DiscardHandler)})
 	l.holder.Adopt(known)
 	l.takeOver(ctx, "vm-1", []topology.GroupID{"g"}, storeLost)
@@ -143,7 +143,7 @@
 		d.SetVM(vmNumber(i))
 	}
 	l := New(Options{Directory: d, Clock: clock, Log: slog.New(slog.DiscardHandler), Transport: silentTransport(t)})
-	l.coordinatorState["vm-0"] = coordinatorState{last: clock.Now().Add(-time.Minute)}
+	l.coordinatorState["vm-0"] = coordinatorState{lastAnswer: clock.Now().Add(-time.Minute)}
 	l.storeSeen = clock.Now()
 	return l, clock
 }
