--- a/internal/integration/callers_test.go
+++ b/internal/integration/callers_test.go
@@ -14,18 +14,18 @@
 	. "github.com/onsi/gomega"
 )
 
-// leavingState is the SQLSTATE of a session whose daemon leaves.
-const leavingState = "BT104"
+// leavingSQLState is the SQLSTATE of a session that its daemon ends on a planned stop.
+const leavingSQLState = "BT104"
 
-// callers that write and read back until they are stopped. Each has its
-// own keys, so that a write that is lost or a read that is older shows.
+// callers write and read back until they are stopped. Each has a key of its own,
+// so that a lost write or a stale read is detected.
 type callers struct {
-	d     *deployment
-	stop  chan struct{}
-	wait  sync.WaitGroup
-	acked atomic.Int64
-	told  atomic.Int64 // sessions that were told to go and had one more answer
-	ended atomic.Int64 // sessions that found themselves ended, not run
+	d          *deployment
+	stop       chan struct{}
+	wait       sync.WaitGroup
+	acked      atomic.Int64
+	reconnects atomic.Int64 // sessions that a caller closed after an announced stop or an error
+	ended      atomic.Int64 // requests refused as not run because the daemon had ended the session
 
 	mu       sync.Mutex
 	failures []string
@@ -44,7 +44,7 @@
 	return l
 }
 
-func (l *callers) failed(format string, args ...any) {
+func (l *callers) recordFailure(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.failures = append(l.failures, time.Now().Format("15:04:05.000 ")+fmt.Sprintf(format, args...))
@@ -55,17 +55,18 @@
 	GinkgoHelper()
 	close(l.stop)
 	l.wait.Wait()
-	GinkgoWriter.Printf("acknowledged=%d told=%d ended=%d\n", l.acked.Load(), l.told.Load(), l.ended.Load())
+	GinkgoWriter.Printf("acknowledged=%d reconnects=%d ended=%d\n", l.acked.Load(), l.reconnects.Load(), l.ended.Load())
 	for _, f := range l.failures {
 		GinkgoWriter.Println(f)
 	}
 	Expect(l.failures).To(BeEmpty())
-	Expect(l.ended.Load()).To(BeZero(), "sessions were ended that had not been told")
+	Expect(l.ended.Load()).To(BeZero(), "sessions were ended without an announcement")
 	Expect(l.acked.Load()).To(BeNumerically(">", 0))
 }
 
-// call writes and reads its own key in turn. A session that is told to go
-// connects anew, as one that was ended with "not run" does; then it repeats.
+// call writes and reads the caller's own key in turn. When the daemon announces
+// its stop, or ended the session with "not run", the caller connects to the next
+// proxy; a request that was not run is repeated there.
 func (l *callers) call(i int) {
 	var c *pgx.Conn
 	defer func() { closeConn(c) }()
@@ -80,19 +81,19 @@
 		}
 		err := l.request(c, i, n)
 		var refused *pgconn.PgError
-		leaving := errors.As(err, &refused) && refused.Code == leavingState
+		leaving := errors.As(err, &refused) && refused.Code == leavingSQLState
 		switch {
 		case leaving:
 			l.ended.Add(1)
 		case err != nil:
-			l.failed("caller %d request %d: %v", i, n, err)
+			l.recordFailure("caller %d request %d: %v", i, n, err)
 			n++
 		default:
 			l.acked.Add(1)
 			n++
 		}
 		if c.IsClosed() || err != nil || c.PgConn().ParameterStatus("buckthornshore.leaving") == "on" {
-			l.told.Add(1)
+			l.reconnects.Add(1)
 			closeConn(c)
 			c, proxy = nil, proxy+1
 		}
@@ -106,7 +107,7 @@
 	}
 }
 
-// connect asks one proxy after the other, as a balancer does.
+// connect tries one proxy after the other, as a load balancer does.
 func (l *callers) connect(from int) (*pgx.Conn, int) {
 	for i := from; ; i++ {
 		proxy := i % len(l.d.callers)
@@ -118,8 +119,8 @@
 	}
 }
 
-// request writes on even turns, half of them in a transaction, and reads what
-// was written on odd ones.
+// request writes when n is even, in a transaction every second time, and reads
+// back the last write when n is odd.
 func (l *callers) request(c *pgx.Conn, i, n int) error {
 	key, value := fmt.Sprintf("caller-%d", i), fmt.Sprint(n/2)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
--- a/internal/integration/cancel_test.go
+++ b/internal/integration/cancel_test.go
@@ -16,9 +16,9 @@
 
 var _ = Describe("Cancel and psql", Ordered, func() {
 	var d *deployment
-	BeforeAll(func() { d = deploy(shape{groups: 1, proxies: 3, edit: addClasses}) })
+	BeforeAll(func() { d = deploy(deployOptions{groups: 1, proxies: 3, editConfig: addClasses}) })
 
-	// psql is what an operator would use: our options come in PGOPTIONS.
+	// psql returns a psql command that passes the proxy's session options in PGOPTIONS.
 	psql := func(args ...string) *exec.Cmd {
 		path, err := exec.LookPath("psql")
 		if err != nil {
@@ -31,22 +31,22 @@
 		return cmd
 	}
 
-	// The caller gets PostgreSQL's own answer and goes on in its session: the
-	// cancel request reaches the statement that runs at the database, through
-	// whichever proxy pools it.
+	// The caller gets PostgreSQL's own error and can go on using its session. The
+	// cancel request reaches the statement that runs at the database, whichever
+	// proxy pools the connection to it.
 	It("ends the running statement, and the session goes on", func() {
 		c := d.mustConnect(0, classNote)
 		for range 3 {
 			ended := make(chan error, 1)
 			go func() {
-				_, err := c.Exec(within(20*time.Second), "select pg_sleep(3)", pgx.QueryExecModeSimpleProtocol)
+				_, err := c.Exec(timeoutContext(20*time.Second), "select pg_sleep(3)", pgx.QueryExecModeSimpleProtocol)
 				ended <- err
 			}()
 			time.Sleep(100 * time.Millisecond)
-			Expect(c.PgConn().CancelRequest(within(5 * time.Second))).To(Succeed())
+			Expect(c.PgConn().CancelRequest(timeoutContext(5 * time.Second))).To(Succeed())
 			var err error
 			Eventually(ended).WithTimeout(2500 * time.Millisecond).Should(Receive(&err))
-			Expect(state(err)).To(Equal("57014"))
+			Expect(sqlState(err)).To(Equal("57014"))
 			Expect(put(c, "cancel", "1")).To(Succeed())
 		}
 	})
@@ -60,14 +60,14 @@
 		c := d.mustConnect(0, classNote)
 		ended := make(chan error, 1)
 		go func() {
-			_, err := c.Exec(within(20*time.Second), "insert into quota (k, v) values ('queued', '1')", pgx.QueryExecModeSimpleProtocol)
+			_, err := c.Exec(timeoutContext(20*time.Second), "insert into quota (k, v) values ('queued', '1')", pgx.QueryExecModeSimpleProtocol)
 			ended <- err
 		}()
 		time.Sleep(100 * time.Millisecond)
-		Expect(c.PgConn().CancelRequest(within(5 * time.Second))).To(Succeed())
+		Expect(c.PgConn().CancelRequest(timeoutContext(5 * time.Second))).To(Succeed())
 		var err error
 		Eventually(ended).WithTimeout(time.Second).Should(Receive(&err))
-		Expect(state(err)).To(Equal("57014"))
+		Expect(sqlState(err)).To(Equal("57014"))
 		Expect(err.Error()).To(ContainSubstring("not run"))
 		_, err = get(d.mustConnect(2, "quota-balance"), "queued")
 		Expect(err).To(MatchError(pgx.ErrNoRows))
--- a/internal/integration/config_test.go
+++ b/internal/integration/config_test.go
@@ -22,19 +22,19 @@
 )
 
 // deployBare starts the platform and seven proxies without databases and without
-// a configuration file: what they have in force comes from the platform alone.
+// a configuration file: their configuration comes from the platform alone.
 func deployBare() *deployment {
 	d := &deployment{dir: GinkgoT().TempDir(), databases: map[topology.TargetID]*process{}}
 	DeferCleanup(d.end)
 	d.readExample(1)
 	d.startPlatform()
 	d.planProxies(7, false)
-	for i := range d.plans {
-		d.plans[i].ConfigFile = ""
-		d.plans[i].LogLevel = "info"
-		d.plans[i].Peers = []string{d.plans[(i+1)%7].PeerAddress, d.plans[(i+2)%7].PeerAddress}
+	for i := range d.proxySettings {
+		d.proxySettings[i].ConfigFile = ""
+		d.proxySettings[i].LogLevel = "info"
+		d.proxySettings[i].Peers = []string{d.proxySettings[(i+1)%7].PeerAddress, d.proxySettings[(i+2)%7].PeerAddress}
 	}
-	for i := range d.plans {
+	for i := range d.proxySettings {
 		d.startProxy(i)
 	}
 	Eventually(func() string {
@@ -44,13 +44,14 @@
 	return d
 }
 
-// inForce awaits that every daemon but the absent has the versions, and returns
-// when each had them by its own clock, which is this machine's.
-func (d *deployment) inForce(v config.Versions, absent ...topology.VMID) (since []time.Time) {
+// awaitInForce waits until every daemon except the absent ones has these versions
+// in force. It returns the time at which each daemon put them in force, by the
+// daemon's clock, which is this machine's.
+func (d *deployment) awaitInForce(v config.Versions, absent ...topology.VMID) (since []time.Time) {
 	GinkgoHelper()
 	Eventually(func(g Gomega) {
 		since = nil
-		for _, c := range ask[[]status.Config](d, "config", "status") {
+		for _, c := range ctlJSON[[]status.Config](d, "config", "status") {
 			if slices.Contains(absent, c.VM) {
 				continue
 			}
@@ -62,8 +63,9 @@
 	return since
 }
 
-// outage has the platform refuse the callers with these names.
-func (d *deployment) outage(callers ...string) {
+// setOutage makes the platform refuse every caller whose name starts with one of
+// the prefixes.
+func (d *deployment) setOutage(callers ...string) {
 	GinkgoHelper()
 	req := &platformpb.SetFaultsRequest{}
 	for _, c := range callers {
@@ -73,16 +75,17 @@
 	Expect(err).NotTo(HaveOccurred())
 }
 
-// expectNoReturn reads from the logs that no start of a daemon went back.
-func (d *deployment) expectNoReturn() {
+// expectNoOlderVersion checks in the logs that no daemon, between one start and the
+// next, went back to an older version.
+func (d *deployment) expectNoOlderVersion() {
 	GinkgoHelper()
 	for _, p := range d.proxies {
 		raw, err := os.ReadFile(p.log)
 		Expect(err).NotTo(HaveOccurred())
-		var held config.Versions
+		var previous config.Versions
 		for line := range strings.Lines(string(raw)) {
 			if strings.Contains(line, "event=peers_served") {
-				held = config.Versions{}
+				previous = config.Versions{}
 			}
 			m := versionsInForce.FindStringSubmatch(line)
 			if m == nil {
@@ -91,8 +94,8 @@
 			var next config.Versions
 			next.Config, _ = strconv.ParseUint(m[1], 10, 64)
 			next.Preset, _ = strconv.ParseUint(m[2], 10, 64)
-			Expect(next.AtLeast(held)).To(BeTrue(), "%s: %s", p.name, line)
-			held = next
+			Expect(next.AtLeast(previous)).To(BeTrue(), "%s: %s", p.name, line)
+			previous = next
 		}
 	}
 }
@@ -100,13 +103,14 @@
 var versionsInForce = regexp.MustCompile(`event=config_in_force.* config=(\d+) preset=(\d+)`)
 
 var _ = Describe("Configuration in force", func() {
-	// Operators see the winner's version on every daemon, whatever fails between.
-	// Two of them switch at once; a relay dies while it hands a change out; a data
-	// centre loses the platform; answers are lost; a daemon starts in an outage.
+	// Every daemon gets the version that the platform accepted, whatever fails on the
+	// way: two operators switch presets at the same time, a relay dies while it
+	// distributes a change, a data centre loses the platform, answers are lost, and a
+	// daemon starts during an outage.
 	It("reaches every daemon and never goes back", func() {
 		d := deployBare()
 		d.mustCtl("apply", d.configFile(), "--expect-version", "0")
-		d.inForce(config.Versions{Config: 1})
+		d.awaitInForce(config.Versions{Config: 1})
 
 		By("two operators switching at once")
 		codes := make([]int, 2)
@@ -121,50 +125,50 @@
 		}
 		wait.Wait()
 		Expect(codes).To(ConsistOf(ctl.ExitOK, ctl.ExitRefused))
-		d.inForce(config.Versions{Config: 1, Preset: 1})
+		d.awaitInForce(config.Versions{Config: 1, Preset: 1})
 
-		By("a relay dying while it hands out: vm-2 is one of the two of its data centre")
+		By("a relay dying while it distributes a change; vm-2 is one of two VMs of its data centre")
 		d.mustCtl("preset", "switch", "ordinary")
 		d.proxies[1].kill()
-		d.inForce(config.Versions{Config: 1, Preset: 2}, "vm-2")
+		d.awaitInForce(config.Versions{Config: 1, Preset: 2}, "vm-2")
 
 		By("a data centre without the platform")
-		d.outage("vm-1", "vm-4", "vm-7")
+		d.setOutage("vm-1", "vm-4", "vm-7")
 		d.mustCtl("apply", d.configFile(), "--expect-version", "1")
-		d.inForce(config.Versions{Config: 2, Preset: 2}, "vm-2")
+		d.awaitInForce(config.Versions{Config: 2, Preset: 2}, "vm-2")
 
-		By("a daemon that starts while the platform is out for all")
-		d.outage("vm-")
+		By("a daemon that starts while the platform refuses every VM")
+		d.setOutage("vm-")
 		d.proxies[1].start()
-		d.inForce(config.Versions{Config: 2, Preset: 2})
+		d.awaitInForce(config.Versions{Config: 2, Preset: 2})
 		raw, err := os.ReadFile(d.proxies[1].log)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(raw)).To(ContainSubstring("event=started_from_peers"))
 
-		By("the platform being back, and losing answers")
+		By("the platform being available again, but losing answers")
 		_, err = d.standIn.SetFaults(context.Background(), &platformpb.SetFaultsRequest{
 			Faults: []*platformpb.Fault{{CallerPrefix: "bts-ctl", LostAnswers: 1}},
 		})
 		Expect(err).NotTo(HaveOccurred())
 		d.mustCtl("preset", "switch", "peak")
-		d.inForce(config.Versions{Config: 2, Preset: 3})
-		d.expectNoReturn()
+		d.awaitInForce(config.Versions{Config: 2, Preset: 3})
+		d.expectNoOlderVersion()
 	})
 
 	It("is measured", func() {
 		d := deployBare()
-		time.Sleep(restWindow) // Start-up's messages are over.
+		time.Sleep(restWindow) // Wait until the messages of the start-up are over.
 		cpu, io := d.usage()
 		time.Sleep(restWindow)
 		cpuAfter, ioAfter := d.usage()
 		d.mustCtl("apply", d.configFile(), "--expect-version", "0")
-		d.inForce(config.Versions{Config: 1})
+		d.awaitInForce(config.Versions{Config: 1})
 		var took []time.Duration
-		for n := range changes() {
+		for n := range changeCount() {
 			time.Sleep(time.Duration(rand.IntN(500)) * time.Millisecond)
 			d.mustCtl("preset", "switch", []string{"peak", "ordinary"}[n%2])
 			accepted := time.Now()
-			for _, at := range d.inForce(config.Versions{Config: 1, Preset: uint64(n + 1)}) {
+			for _, at := range d.awaitInForce(config.Versions{Config: 1, Preset: uint64(n + 1)}) {
 				took = append(took, max(0, at.Sub(accepted)))
 			}
 		}
@@ -172,17 +176,19 @@
 		at := func(q float64) time.Duration { return took[int(q*float64(len(took)-1))] }
 		seconds := restWindow.Seconds()
 		for i := range d.proxies {
-			GinkgoWriter.Printf("at rest %s: cpu %.2f%% read+written %.0f B/s\n", d.proxies[i].name,
+			GinkgoWriter.Printf("idle %s: cpu %.2f%% read+written %.0f B/s\n", d.proxies[i].name,
 				100*(cpuAfter[i]-cpu[i])/seconds, float64(ioAfter[i]-io[i])/seconds)
 		}
-		GinkgoWriter.Printf("in force: %d of %d changes, p50 %v p99 %v max %v\n", len(took), changes(), at(.5), at(.99), at(1))
+		GinkgoWriter.Printf("in force: %d of %d changes, p50 %v p99 %v max %v\n", len(took), changeCount(), at(.5), at(.99), at(1))
 	})
 })
 
-// restWindow of the usage at rest; changes are more when a figure is wanted.
+// restWindow is how long the usage of idle daemons is measured.
 const restWindow = 5 * time.Second
 
-func changes() int {
+// changeCount returns the number of preset switches; BTS_CHANGES sets more for a
+// measurement.
+func changeCount() int {
 	if n, err := strconv.Atoi(os.Getenv("BTS_CHANGES")); err == nil {
 		return n
 	}
@@ -192,8 +198,8 @@
 // ticksPerSecond is USER_HZ, which Linux fixes for /proc.
 const ticksPerSecond = 100
 
-// usage reads each proxy's processor seconds and bytes read and written, which
-// count sockets and the log.
+// usage returns each proxy's CPU time in seconds and the bytes that it has read
+// and written, through sockets and to the log.
 func (d *deployment) usage() (cpu []float64, bytes []uint64) {
 	GinkgoHelper()
 	for _, p := range d.proxies {
--- a/internal/integration/deployment_test.go
+++ b/internal/integration/deployment_test.go
@@ -21,39 +21,40 @@
 	"github.com/buckthornshore/buckthornshore/rpc/platformpb"
 )
 
-// deployment is the example of one member: a platform, its databases and proxies.
+// deployment is the shipped example configuration of one member as running
+// processes: a platform, databases and proxies.
 type deployment struct {
-	dir       string
-	doc       *config.Document
-	platform  *process
-	url       string
-	databases map[topology.TargetID]*process
-	plans     []daemon.Settings
-	proxies   []*process
-	links     []*link
-	callers   []string // caller addresses, as proxies
-	admins    []string // admin addresses, as proxies
-	standIn   platformpb.StandIn
-	shape     shape
-}
-
-// shape of a deployment under test.
-type shape struct {
+	dir           string
+	doc           *config.Document
+	platform      *process
+	url           string
+	databases     map[topology.TargetID]*process
+	proxySettings []daemon.Settings
+	proxies       []*process
+	links         []*link
+	callers       []string // caller addresses, in the order of proxies
+	admins        []string // admin addresses, in the order of proxies
+	standIn       platformpb.StandIn
+	deployOptions deployOptions
+}
+
+// deployOptions sets the size of a deployment and what differs from the example.
+type deployOptions struct {
 	groups  int
 	proxies int
-	// links: what a proxy says to other data centres goes through links that can
-	// be cut.
+	// links is set to route the proxies' connections to other data centres and to
+	// the platform through links that can be cut.
 	links bool
-	// databaseArgs are added to every database's flags.
+	// databaseArgs are added to every database's command line.
 	databaseArgs []string
-	// edit changes the configuration, and settings those of the i-th proxy.
-	edit     func(*config.Document)
-	settings func(i int, s *daemon.Settings)
+	// editConfig changes the configuration, editSettings the settings of the i-th proxy.
+	editConfig   func(*config.Document)
+	editSettings func(i int, s *daemon.Settings)
 }
 
 // deploy starts everything and waits until a write goes through.
-func deploy(s shape) *deployment {
-	d := &deployment{dir: GinkgoT().TempDir(), databases: map[topology.TargetID]*process{}, shape: s}
+func deploy(s deployOptions) *deployment {
+	d := &deployment{dir: GinkgoT().TempDir(), databases: map[topology.TargetID]*process{}, deployOptions: s}
 	DeferCleanup(d.end)
 	d.readExample(s.groups)
 	d.startPlatform()
@@ -66,7 +67,8 @@
 	return d
 }
 
-// readExample takes the shipped example with addresses of this run.
+// readExample reads the shipped example and gives its databases addresses that
+// are free on this machine.
 func (d *deployment) readExample(groups int) {
 	raw, err := os.ReadFile("../../examples/kalakvoot.json")
 	Expect(err).NotTo(HaveOccurred())
@@ -78,8 +80,8 @@
 			doc.Groups[i].Targets[j].Address = freeAddress()
 		}
 	}
-	if d.shape.edit != nil {
-		d.shape.edit(doc)
+	if d.deployOptions.editConfig != nil {
+		d.deployOptions.editConfig(doc)
 	}
 	d.doc = doc
 	raw, err = json.Marshal(doc)
@@ -120,10 +122,11 @@
 	}
 }
 
-// planProxies fixes the addresses of n proxies, in the data centres by turns.
+// planProxies prepares the settings of n proxies, assigned to the data centres
+// round robin.
 func (d *deployment) planProxies(n int, links bool) {
 	for i := range n {
-		d.plans = append(d.plans, daemon.Settings{
+		d.proxySettings = append(d.proxySettings, daemon.Settings{
 			VM:              topology.VMID(fmt.Sprintf("vm-%d", i+1)),
 			DataCentre:      d.doc.DataCentres[i%len(d.doc.DataCentres)].Name,
 			Region:          "ee-north",
@@ -145,9 +148,9 @@
 
 // startProxy starts the i-th planned proxy.
 func (d *deployment) startProxy(i int) {
-	s := d.plans[i]
-	if d.shape.settings != nil {
-		d.shape.settings(i, &s)
+	s := d.proxySettings[i]
+	if d.deployOptions.editSettings != nil {
+		d.deployOptions.editSettings(i, &s)
 	}
 	raw, err := json.Marshal(s)
 	Expect(err).NotTo(HaveOccurred())
@@ -158,7 +161,7 @@
 	d.admins = append(d.admins, s.AdminAddress)
 }
 
-// awaitWrites returns once every group takes a write.
+// awaitWrites waits until every group accepts a write.
 func (d *deployment) awaitWrites() {
 	for _, g := range d.doc.Groups {
 		Eventually(func() error {
@@ -172,7 +175,7 @@
 	}
 }
 
-// connect opens a session at the i-th proxy; options are name, value pairs.
+// connect opens a session at the i-th proxy; options are pairs of name and value.
 func (d *deployment) connect(i int, class string, options ...string) (*pgx.Conn, error) {
 	conf, err := pgx.ParseConfig("postgres://caller@" + d.callers[i] + "/quota?sslmode=disable")
 	Expect(err).NotTo(HaveOccurred())
@@ -193,12 +196,13 @@
 	return c
 }
 
-// dumpRows shows all groups' rows beside a failed test's logs.
+// dumpRows prints all rows of the platform's table, next to the logs of a failed
+// test.
 func (d *deployment) dumpRows() {
 	table := platform.NewRemote(d.url, "test", http.DefaultClient)
 	rows, _, err := table.Scan(context.Background(), "", 0)
 	if err != nil {
-		fmt.Fprintf(GinkgoWriter, "--- rows not read: %v\n", err)
+		fmt.Fprintf(GinkgoWriter, "--- reading the rows failed: %v\n", err)
 		return
 	}
 	for _, r := range rows {
--- a/internal/integration/failover_test.go
+++ b/internal/integration/failover_test.go
@@ -31,8 +31,9 @@
 	return g
 }
 
-// settled waits until both replicas are synced and no earlier list counts any more.
-func (d *deployment) settled() {
+// awaitSettled waits until both replicas are synced and no earlier list of promoters
+// is still valid.
+func (d *deployment) awaitSettled() {
 	Eventually(func() bool {
 		row := d.row()
 		synced := 0
@@ -45,7 +46,8 @@
 	}).WithTimeout(20 * time.Second).Should(BeTrue())
 }
 
-// allSettled reports whether n groups have two synced replicas and no earlier list.
+// allSettled reports whether there are n groups, each with two synced replicas
+// and no earlier list of promoters that is still valid.
 func (d *deployment) allSettled(n int) bool {
 	table := platform.NewRemote(d.url, "test", http.DefaultClient)
 	rows, _, err := table.Scan(context.Background(), "group/", 0)
@@ -63,20 +65,20 @@
 
 // killAll kills a data centre's VMs and databases.
 func (d *deployment) killAll(dc topology.DataCentre) {
-	for i, p := range d.plans {
+	for i, p := range d.proxySettings {
 		if p.DataCentre == dc {
 			d.proxies[i].kill()
 		}
 	}
 	for id, p := range d.databases {
-		if d.placeOf(id) == dc {
+		if d.dataCentreOf(id) == dc {
 			p.kill()
 		}
 	}
 }
 
-// placeOf returns the data centre of any target.
-func (d *deployment) placeOf(id topology.TargetID) topology.DataCentre {
+// dataCentreOf returns the data centre of a target of any group.
+func (d *deployment) dataCentreOf(id topology.TargetID) topology.DataCentre {
 	for _, g := range d.doc.Groups {
 		for _, t := range g.Targets {
 			if t.ID == id {
@@ -87,14 +89,15 @@
 	return ""
 }
 
-// proxyIn returns the number of the first proxy in, or not in, a data centre.
+// proxyIn returns the index of the first proxy that is in the data centre, or,
+// when in is false, of the first that is not.
 func (d *deployment) proxyIn(dc topology.DataCentre, in bool) int {
-	return slices.IndexFunc(d.plans, func(s daemon.Settings) bool { return (s.DataCentre == dc) == in })
+	return slices.IndexFunc(d.proxySettings, func(s daemon.Settings) bool { return (s.DataCentre == dc) == in })
 }
 
-// platformDown starts or ends an outage of the platform for everybody but the
-// test itself.
-func (d *deployment) platformDown(down bool) {
+// setPlatformDown starts or ends an outage of the platform for all VMs; the test
+// itself can still reach it.
+func (d *deployment) setPlatformDown(down bool) {
 	req := &platformpb.SetFaultsRequest{}
 	if down {
 		req.Faults = []*platformpb.Fault{{CallerPrefix: "vm-", Unavailable: true}}
@@ -103,8 +106,8 @@
 	Expect(err).NotTo(HaveOccurred())
 }
 
-// checkNothingLost reads the writer's key and compares it with what was
-// acknowledged.
+// checkNothingLost reads the writer's key and checks that it is at least the
+// newest acknowledged value.
 func (d *deployment) checkNothingLost(proxy int, w *writer) {
 	reader := d.mustConnect(proxy, "quota-balance", "session", w.key)
 	var value string
@@ -117,7 +120,8 @@
 	Expect(seen).To(BeNumerically(">=", w.value()))
 }
 
-// failovers is how many times each cause is brought about; a measurement sets more.
+// failovers returns how many failovers are run for each cause; BTS_FAILOVERS
+// sets more for a measurement.
 func failovers() int {
 	n, err := strconv.Atoi(os.Getenv("BTS_FAILOVERS"))
 	if err != nil {
@@ -126,25 +130,26 @@
 	return n
 }
 
-// measured is one cause with its gaps, and how far into them the primary was
-// found dead and its successor's row committed.
-type measured struct{ gaps, found, committed []time.Duration }
+// failoverTimes holds the times of one cause's failovers: the gaps without an
+// acknowledged write, and the times from the failure until the primary was found
+// dead and until the row with the next term was committed.
+type failoverTimes struct{ gaps, detected, committed []time.Duration }
 
-func (m *measured) add(d *deployment, at time.Time, term uint64, gap time.Duration) {
+func (m *failoverTimes) add(d *deployment, at time.Time, term uint64, gap time.Duration) {
 	m.gaps = append(m.gaps, gap)
 	if dead, ok := d.firstEvent(at, "event=target_health", "health=dead"); ok {
-		m.found = append(m.found, dead.Sub(at))
+		m.detected = append(m.detected, dead.Sub(at))
 	}
 	if row, ok := d.firstEvent(at, "event=row_commit", fmt.Sprintf(" term=%d ", term), " status=1 "); ok {
 		m.committed = append(m.committed, row.Sub(at))
 	}
 }
 
-func (m *measured) report(cause string) {
+func (m *failoverTimes) report(cause string) {
 	for _, part := range []struct {
 		name   string
 		values []time.Duration
-	}{{"gap", m.gaps}, {"found dead after", m.found}, {"row committed after", m.committed}} {
+	}{{"gap", m.gaps}, {"found dead after", m.detected}, {"row committed after", m.committed}} {
 		slices.Sort(part.values)
 		n := len(part.values)
 		if n == 0 {
@@ -156,8 +161,8 @@
 	}
 }
 
-// firstEvent finds the earliest line after at that holds all the words, in the
-// logs of the proxies.
+// firstEvent returns the time of the earliest line after at in the proxies' logs
+// that contains all the words.
 func (d *deployment) firstEvent(at time.Time, words ...string) (first time.Time, found bool) {
 	for _, p := range d.proxies {
 		raw, err := os.ReadFile(p.log)
@@ -174,7 +179,7 @@
 	return first, found
 }
 
-// timeOf reads the time that begins a line of a log.
+// timeOf returns the time at the start of a log line.
 func timeOf(line string) (time.Time, bool) {
 	text, _, _ := strings.Cut(strings.TrimPrefix(line, "time="), " ")
 	when, err := time.Parse(time.RFC3339Nano, text)
@@ -182,18 +187,18 @@
 }
 
 var _ = Describe("Failover", func() {
-	// The caller sees its writes wait for about a second and then go on; nothing
-	// acknowledged is missing. The primary is killed, or frozen, or its data
-	// centre cut off; its pooler finds it dead or falls silent, a promoter
-	// withdraws its promise, waits for the right to end and promotes its replica.
+	// The caller's writes wait for about a second and then go on; no acknowledged
+	// write is missing. The primary is killed or frozen, or its data centre is cut
+	// off. Its pooler finds it dead or becomes unreachable; a promoter withdraws its
+	// promise, waits until the right has ended and promotes its replica.
 	DescribeTable("replaces a primary with nobody ordering it",
 		func(cause string, links bool, fail func(*deployment, topology.TargetID)) {
-			var m measured
+			var m failoverTimes
 			for range failovers() {
-				d := deploy(shape{groups: 1, proxies: 7, links: links})
-				d.settled()
+				d := deploy(deployOptions{groups: 1, proxies: 7, links: links})
+				d.awaitSettled()
 				before := d.row()
-				from := d.proxyIn(d.placeOf(before.Primary), false)
+				from := d.proxyIn(d.dataCentreOf(before.Primary), false)
 				w := d.startWriter(from, "landing-report", "boat-1")
 				Eventually(w.count).WithTimeout(10 * time.Second).Should(BeNumerically(">", 20))
 				at := time.Now()
@@ -212,11 +217,11 @@
 		Entry("killed", "killed", false, func(d *deployment, t topology.TargetID) { d.databases[t].kill() }),
 		Entry("frozen", "frozen", false, func(d *deployment, t topology.TargetID) { d.databases[t].freeze() }),
 		Entry("its data centre cut off", "data centre cut off", true, func(d *deployment, t topology.TargetID) {
-			d.cutBetween(d.placeOf(t), anywhere, true)
+			d.cutBetween(d.dataCentreOf(t), anywhere, true)
 		}),
 		Entry("killed with every VM of its data centre", "with its VMs", false, func(d *deployment, t topology.TargetID) {
-			for i, p := range d.plans {
-				if p.DataCentre == d.placeOf(t) {
+			for i, p := range d.proxySettings {
+				if p.DataCentre == d.dataCentreOf(t) {
 					d.proxies[i].kill()
 				}
 			}
@@ -224,50 +229,50 @@
 		}),
 	)
 
-	// The caller sees no failed write. The platform is out for longer than the
-	// promises last; they are renewed between the VMs, so the right stands.
+	// No write of the caller fails. The platform is out for longer than the promises
+	// last; the VMs renew them among themselves, so the right stays valid.
 	It("acknowledges writes through an outage of the platform", func() {
-		d := deploy(shape{groups: 1, proxies: 7})
-		d.settled()
+		d := deploy(deployOptions{groups: 1, proxies: 7})
+		d.awaitSettled()
 		w := d.startWriter(1, "landing-report", "boat-2")
 		Eventually(w.count).WithTimeout(10 * time.Second).Should(BeNumerically(">", 20))
 		at := time.Now()
-		d.platformDown(true)
+		d.setPlatformDown(true)
 		time.Sleep(6 * time.Second)
 		gap := w.gap(at)
 		fmt.Printf("platform outage: longest time without a write %v, failures %v\n", gap.Round(time.Millisecond), w.failures)
-		d.platformDown(false)
+		d.setPlatformDown(false)
 		w.end()
 		Expect(w.failures).To(BeEmpty())
 		Expect(w.count()).To(BeNumerically(">", 100))
 	})
 
-	// The caller sees its writes refused as not run while the platform is out and
-	// the primary dead: nobody may commit the next term. They go on after the
-	// outage, with a promotion, and nothing acknowledged is missing.
+	// The caller's writes are refused as not run while the platform is out and the
+	// primary is dead, because the next term can't be committed. After the outage a
+	// replica is promoted, writes go on, and no acknowledged write is missing.
 	It("waits with a promotion for the platform", func() {
-		d := deploy(shape{groups: 1, proxies: 7})
-		d.settled()
+		d := deploy(deployOptions{groups: 1, proxies: 7})
+		d.awaitSettled()
 		before := d.row()
 		w := d.startWriter(1, "landing-report", "boat-3")
 		Eventually(w.count).WithTimeout(10 * time.Second).Should(BeNumerically(">", 20))
-		d.platformDown(true)
+		d.setPlatformDown(true)
 		d.databases[before.Primary].kill()
 		time.Sleep(3 * time.Second)
 		Expect(d.row().Term).To(Equal(before.Term))
-		d.platformDown(false)
+		d.setPlatformDown(false)
 		n := w.count()
 		Eventually(w.count).WithTimeout(15 * time.Second).Should(BeNumerically(">", n+20))
 		w.end()
 		d.checkNothingLost(2, w)
 	})
 
-	// The caller sees its writes go on, later than usual. The platform answers each
-	// call after half a second when the primary dies: the promoter's read and
-	// commit take that long, and nothing else needs it.
+	// The caller's writes go on, later than usual. The platform answers each call
+	// after half a second when the primary dies. Of a promotion, only the promoter's
+	// read and commit need the platform and take that long.
 	It("promotes through a slow platform", func() {
-		d := deploy(shape{groups: 1, proxies: 7})
-		d.settled()
+		d := deploy(deployOptions{groups: 1, proxies: 7})
+		d.awaitSettled()
 		before := d.row()
 		w := d.startWriter(1, "landing-report", "boat-9")
 		Eventually(w.count).WithTimeout(10 * time.Second).Should(BeNumerically(">", 20))
@@ -281,18 +286,18 @@
 		Eventually(w.count).WithTimeout(30 * time.Second).Should(BeNumerically(">", n+50))
 		fmt.Printf("slow platform: gap %v failures %v\n", w.gap(at).Round(time.Millisecond), w.failures)
 		w.end()
-		d.platformDown(false)
+		d.setPlatformDown(false)
 		Expect(d.row().Term).To(BeNumerically(">", before.Term))
 		d.checkNothingLost(2, w)
 	})
 
-	// The callers of every group see their writes go on. A data centre with the
-	// primaries of all three groups is lost with its VMs; each group is promoted by
-	// its own promoters, with a few writes to the platform's table for each.
+	// The writes of every group's callers go on. A data centre with the primaries of
+	// all three groups is lost, together with its VMs. Each group's own promoters
+	// promote a replica, with a few writes to the platform's table for each group.
 	It("replaces every primary of a lost data centre", func() {
-		d := deploy(shape{groups: 3, proxies: 7})
+		d := deploy(deployOptions{groups: 3, proxies: 7})
 		Eventually(func() bool { return d.allSettled(3) }).WithTimeout(20 * time.Second).Should(BeTrue())
-		dc := d.placeOf(d.row().Primary)
+		dc := d.dataCentreOf(d.row().Primary)
 		Expect(dc).NotTo(BeEmpty())
 		from := d.proxyIn(dc, false)
 		var writers []*writer
@@ -317,12 +322,12 @@
 			after.Writes-before.Writes, after.Reads-before.Reads, time.Since(at).Round(time.Millisecond))
 	})
 
-	// The caller sees no failed write. A replica that writes wait for is killed;
-	// the target gives up its wait, the holder takes the replica off the list, and
-	// the writes under way are acknowledged when the other one holds them.
+	// No write of the caller fails. A replica that writes wait for is killed; the
+	// primary stops waiting for it, the holder of the right removes it from the list,
+	// and pending writes are acknowledged once the other replica has them.
 	It("goes on without a dead replica", func() {
-		d := deploy(shape{groups: 1, proxies: 7})
-		d.settled()
+		d := deploy(deployOptions{groups: 1, proxies: 7})
+		d.awaitSettled()
 		before := d.row()
 		w := d.startWriter(1, "landing-report", "boat-6")
 		Eventually(w.count).WithTimeout(10 * time.Second).Should(BeNumerically(">", 20))
@@ -337,13 +342,13 @@
 		d.checkNothingLost(2, w)
 	})
 
-	// The caller sees its writes go on. The primary's data centre is cut off from
-	// the platform alone, which no write needs: nobody is promoted.
+	// The caller's writes go on. The primary's data centre is cut off from the
+	// platform only, which no write needs, so no replica is promoted.
 	It("needs no promotion when a data centre loses the platform", func() {
-		d := deploy(shape{groups: 1, proxies: 7, links: true})
-		d.settled()
+		d := deploy(deployOptions{groups: 1, proxies: 7, links: true})
+		d.awaitSettled()
 		before := d.row()
-		dc := d.placeOf(before.Primary)
+		dc := d.dataCentreOf(before.Primary)
 		w := d.startWriter(d.proxyIn(dc, true), "landing-report", "boat-7")
 		Eventually(w.count).WithTimeout(10 * time.Second).Should(BeNumerically(">", 20))
 		at := time.Now()
@@ -356,14 +361,14 @@
 		Expect(d.row().Term).To(Equal(before.Term))
 	})
 
-	// The caller sees its writes go on after a wait, and every acknowledged one
-	// again. The primary's data centre is cut off from the others but not from the
-	// platform: either its pooler replaces the promoters that it can't reach or
-	// one of those promotes; the platform's table lets one of the two happen.
+	// The caller's writes go on after a wait, and no acknowledged write is missing.
+	// The primary's data centre is cut off from the others but not from the platform:
+	// either its pooler replaces the promoters that it can't reach, or one of them
+	// promotes its replica. The platform's table lets only one of the two succeed.
 	It("goes on when a data centre is cut off from the others", func() {
-		d := deploy(shape{groups: 1, proxies: 7, links: true})
-		d.settled()
-		dc := d.placeOf(d.row().Primary)
+		d := deploy(deployOptions{groups: 1, proxies: 7, links: true})
+		d.awaitSettled()
+		dc := d.dataCentreOf(d.row().Primary)
 		w := d.startWriter(d.proxyIn(dc, false), "landing-report", "boat-8")
 		Eventually(w.count).WithTimeout(10 * time.Second).Should(BeNumerically(">", 20))
 		at := time.Now()
@@ -376,20 +381,20 @@
 		d.checkNothingLost(d.proxyIn(dc, false), w)
 	})
 
-	// The caller sees its writes go on within about a second. Only the pooler's VM
-	// dies; its database lives, so the next VM of the data centre takes over and
-	// nobody is promoted.
+	// The caller's writes go on within about a second. Only the pooler's VM dies and
+	// the database stays up, so the next VM of the data centre becomes its pooler and
+	// no replica is promoted.
 	It("replaces a dead pooler without a promotion", func() {
-		d := deploy(shape{groups: 1, proxies: 7})
-		d.settled()
+		d := deploy(deployOptions{groups: 1, proxies: 7})
+		d.awaitSettled()
 		before := d.row()
-		dc := d.placeOf(before.Primary)
+		dc := d.dataCentreOf(before.Primary)
 		from := d.proxyIn(dc, false)
 		w := d.startWriter(from, "landing-report", "boat-4")
 		Eventually(w.count).WithTimeout(10 * time.Second).Should(BeNumerically(">", 20))
 		at := time.Now()
-		for i, p := range d.plans {
-			if p.DataCentre == dc && i != d.lastIn(dc) {
+		for i, p := range d.proxySettings {
+			if p.DataCentre == dc && i != d.lastProxyIn(dc) {
 				d.proxies[i].kill()
 			}
 		}
@@ -401,18 +406,18 @@
 		d.checkNothingLost(from, w)
 	})
 
-	// The caller sees every acknowledged write again. The pooler's VM is frozen
-	// past its right while the data centre's others are dead, so the primary is
-	// replaced; thawed, it still believes to be in charge and has answers of the
-	// old primary at hand. It re-reads its clock and acknowledges none of them.
+	// No acknowledged write is missing. All VMs of the primary's data centre and the
+	// primary are frozen until the pooler's right has ended and a replica has been
+	// promoted. After they resume, the pooler still has its expired right and may get
+	// answers of the old primary. It re-reads the clock and acknowledges none.
 	It("keeps a paused pooler from acknowledging after its right ended", func() {
-		d := deploy(shape{groups: 1, proxies: 7})
-		d.settled()
+		d := deploy(deployOptions{groups: 1, proxies: 7})
+		d.awaitSettled()
 		before := d.row()
-		dc := d.placeOf(before.Primary)
+		dc := d.dataCentreOf(before.Primary)
 		w := d.startWriter(d.proxyIn(dc, true), "landing-report", "boat-5")
 		Eventually(w.count).WithTimeout(10 * time.Second).Should(BeNumerically(">", 20))
-		for i, p := range d.plans {
+		for i, p := range d.proxySettings {
 			if p.DataCentre == dc {
 				d.proxies[i].freeze()
 			}
@@ -420,7 +425,7 @@
 		d.databases[before.Primary].freeze()
 		Eventually(func() uint64 { return d.row().Term }).WithTimeout(15 * time.Second).Should(BeNumerically(">", before.Term))
 		d.databases[before.Primary].thaw()
-		for i, p := range d.plans {
+		for i, p := range d.proxySettings {
 			if p.DataCentre == dc {
 				d.proxies[i].thaw()
 			}
@@ -432,10 +437,10 @@
 	})
 })
 
-// lastIn returns the number of the last proxy in a data centre.
-func (d *deployment) lastIn(dc topology.DataCentre) int {
+// lastProxyIn returns the index of the last proxy in a data centre, or -1.
+func (d *deployment) lastProxyIn(dc topology.DataCentre) int {
 	last := -1
-	for i, p := range d.plans {
+	for i, p := range d.proxySettings {
 		if p.DataCentre == dc {
 			last = i
 		}
--- a/internal/integration/failures_test.go
+++ b/internal/integration/failures_test.go
@@ -9,11 +9,11 @@
 )
 
 var _ = Describe("Failures on the path", func() {
-	// The caller sees its read answered although a replica hangs. The replica is
-	// frozen first: it accepts connections and stays silent. Reads that go to it
-	// get no position and are sent to another target within the same request.
+	// The caller's reads are answered although a replica hangs. The frozen replica
+	// accepts connections but never answers. A read that is routed to it gets no
+	// position from it and is sent to another target within the same request.
 	It("serves reads while a replica is frozen", func() {
-		d := deploy(shape{groups: 1, proxies: 3})
+		d := deploy(deployOptions{groups: 1, proxies: 3})
 		replica := d.databases[d.doc.Groups[0].Targets[1].ID]
 		writer := d.mustConnect(0, "landing-report")
 		Expect(put(writer, "boat-8", "7")).To(Succeed())
@@ -25,10 +25,10 @@
 		}
 	})
 
-	// The caller sees its transaction commit. The daemon is asked to stop while
-	// the transaction is open; it lets the transaction end before it exits.
+	// The caller's transaction commits. The daemon is asked to stop while the
+	// transaction is open and waits for its end before it exits.
 	It("finishes an open transaction before a planned stop", func() {
-		d := deploy(shape{groups: 1, proxies: 3})
+		d := deploy(deployOptions{groups: 1, proxies: 3})
 		c := d.mustConnect(0, "landing-report")
 		tx, err := c.Begin(context.Background())
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/integration/faults_test.go
+++ b/internal/integration/faults_test.go
@@ -17,10 +17,10 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// settledView waits until the list has stayed the same for a second: the VMs know
-// each other.
-func (d *deployment) settledView() {
-	d.settled()
+// awaitStableView waits until the group's row has not changed for a second, which
+// shows that the VMs' views of the membership agree.
+func (d *deployment) awaitStableView() {
+	d.awaitSettled()
 	version, since := d.row().Version, time.Now()
 	Eventually(func() bool {
 		if v := d.row().Version; v != version {
@@ -28,21 +28,22 @@
 		}
 		return time.Since(since) > time.Second
 	}).WithTimeout(20 * time.Second).Should(BeTrue())
-	d.settled()
+	d.awaitSettled()
 }
 
-// number returns the number of the proxy with the VM's name.
-func (d *deployment) number(vm topology.VMID) int {
-	return slices.IndexFunc(d.plans, func(s daemon.Settings) bool { return s.VM == vm })
+// proxyIndex returns the index of the proxy on the VM, or -1.
+func (d *deployment) proxyIndex(vm topology.VMID) int {
+	return slices.IndexFunc(d.proxySettings, func(s daemon.Settings) bool { return s.VM == vm })
 }
 
-// committer is the VM whose change the row is.
+// committer returns the VM that committed the row.
 func (d *deployment) committer(row topology.Group) topology.VMID {
 	return topology.VMID(strings.Split(row.ChangeID, "/")[1])
 }
 
-// putAt writes to a database past all proxies, without waiting for a replica.
-func (d *deployment) putAt(id topology.TargetID, key, value string) error {
+// putDirectly writes to a database directly, not through a proxy, and without waiting
+// for a replica.
+func (d *deployment) putDirectly(id topology.TargetID, key, value string) error {
 	for _, t := range d.doc.Groups[0].Targets {
 		if t.ID != id {
 			continue
@@ -57,9 +58,9 @@
 	return fmt.Errorf("no target %s", id)
 }
 
-// calmBound is how many promotions the spacing lets through within a time: two at
-// once, then one after each doubled distance.
-func calmBound(within time.Duration) uint64 {
+// maxPromotions returns how many promotions the flap limit permits within a time: two
+// without a wait, then one after each wait, which doubles every time.
+func maxPromotions(within time.Duration) uint64 {
 	n := uint64(2)
 	wait := authority.DefaultFlapBase
 	for within >= wait {
@@ -70,7 +71,7 @@
 	return n
 }
 
-// logged reports whether some proxy logged a line with all the texts.
+// logged reports whether any proxy logged a line that contains all the texts.
 func (d *deployment) logged(texts ...string) bool {
 	for _, p := range d.proxies {
 		raw, err := os.ReadFile(p.log)
@@ -84,24 +85,24 @@
 	return false
 }
 
-// writesGoOn waits for n more acknowledged writes.
-func (w *writer) writesGoOn(n int) {
+// awaitMoreWrites waits for n more acknowledged writes.
+func (w *writer) awaitMoreWrites(n int) {
 	from := w.count()
 	Eventually(w.count).WithTimeout(20 * time.Second).Should(BeNumerically(">", from+n))
 }
 
 var _ = Describe("Failover under faults", func() {
-	// The caller sees short gaps while the link of the primary's data centre comes
-	// and goes, and writes afterwards. Each promotion costs callers a gap, so from
-	// the third one on they are spaced, whatever the link does.
+	// The caller's writes have short gaps while the link of the primary's data centre
+	// flaps, and go on afterwards. Each promotion costs callers a gap, so from the
+	// third one on promotions are spaced, however often the link fails.
 	It("spaces promotions while a link flaps", func() {
-		d := deploy(shape{groups: 1, proxies: 7, links: true})
-		d.settledView()
+		d := deploy(deployOptions{groups: 1, proxies: 7, links: true})
+		d.awaitStableView()
 		before := d.row()
-		dc := d.placeOf(before.Primary)
+		dc := d.dataCentreOf(before.Primary)
 		from := d.proxyIn(dc, false)
 		w := d.startWriter(from, "landing-report", "boat-11")
-		w.writesGoOn(20)
+		w.awaitMoreWrites(20)
 		began := time.Now()
 		for range 4 {
 			d.cutBetween(dc, notPlatform, true)
@@ -110,28 +111,29 @@
 			time.Sleep(300 * time.Millisecond)
 		}
 		took := time.Since(began)
-		Expect(d.row().Term - before.Term).To(BeNumerically("<=", calmBound(took)))
-		w.writesGoOn(50)
+		Expect(d.row().Term - before.Term).To(BeNumerically("<=", maxPromotions(took)))
+		w.awaitMoreWrites(50)
 		w.end()
 		d.checkNothingLost(from, w)
 	})
 
-	// The caller sees one gap. The primary and a VM that could promote its replica
-	// die at once, so the list has to do without it; the other one promotes.
-	DescribeTable("replaces a primary that dies with a promoter", func(dies int) {
-		d := deploy(shape{groups: 1, proxies: 7})
-		d.settledView()
+	// The caller's writes have one gap. The primary and one of the two promoters die
+	// at the same time, so the promotion has to do without one of the listed promoters;
+	// the other one promotes its replica.
+	DescribeTable("replaces a primary that dies with a promoter", func(promoterIndex int) {
+		d := deploy(deployOptions{groups: 1, proxies: 7})
+		d.awaitStableView()
 		before := d.row()
-		victim := before.Promoters[dies%len(before.Promoters)].VM
-		from := slices.IndexFunc(d.plans, func(s daemon.Settings) bool {
-			return s.VM != victim && s.DataCentre != d.placeOf(before.Primary)
+		victim := before.Promoters[promoterIndex%len(before.Promoters)].VM
+		from := slices.IndexFunc(d.proxySettings, func(s daemon.Settings) bool {
+			return s.VM != victim && s.DataCentre != d.dataCentreOf(before.Primary)
 		})
 		w := d.startWriter(from, "landing-report", "boat-12")
-		w.writesGoOn(20)
-		d.proxies[d.number(victim)].kill()
+		w.awaitMoreWrites(20)
+		d.proxies[d.proxyIndex(victim)].kill()
 		d.databases[before.Primary].kill()
 		Eventually(func() uint64 { return d.row().Term }).WithTimeout(20 * time.Second).Should(BeNumerically(">", before.Term))
-		w.writesGoOn(50)
+		w.awaitMoreWrites(50)
 		w.end()
 		d.checkNothingLost(from, w)
 	},
@@ -139,11 +141,11 @@
 		Entry("the second one listed", 1),
 	)
 
-	// The caller sees one gap. The VM that committed the next term dies before it
-	// told anybody, so others find the row and bring the new primary into its role.
+	// The caller's writes have one gap. The VM that committed the next term dies
+	// before it announced it, so other VMs find the row and complete the promotion.
 	It("goes on when the promoter dies right after its commit", func() {
-		d := deploy(shape{groups: 1, proxies: 7})
-		d.settledView()
+		d := deploy(deployOptions{groups: 1, proxies: 7})
+		d.awaitStableView()
 		before := d.row()
 		d.databases[before.Primary].kill()
 		var after topology.Group
@@ -151,27 +153,27 @@
 			after = d.row()
 			return after.Term
 		}).WithTimeout(20 * time.Second).WithPolling(2 * time.Millisecond).Should(BeNumerically(">", before.Term))
-		victim := d.number(d.committer(after))
+		victim := d.proxyIndex(d.committer(after))
 		d.proxies[victim].kill()
-		w := d.startWriter((victim+1)%len(d.plans), "landing-report", "boat-13")
-		w.writesGoOn(50)
+		w := d.startWriter((victim+1)%len(d.proxySettings), "landing-report", "boat-13")
+		w.awaitMoreWrites(50)
 		w.end()
-		d.checkNothingLost((victim+1)%len(d.plans), w)
+		d.checkNothingLost((victim+1)%len(d.proxySettings), w)
 	})
 
-	// The operator reads which writes were lost, and no caller reads them again.
-	// The primary takes a write whose class does not wait while its replicas are
-	// frozen, and dies; a replica is promoted without it. The old primary comes
-	// back with the write, and must cut it off before it serves anybody.
+	// The logs report which writes were lost, and no caller reads them any more. The
+	// primary commits a write that waits for no replica while its replicas are
+	// frozen, and dies; a replica is promoted without the write. The old primary
+	// returns with the write and must discard it before it serves any request.
 	It("reports and cuts off what a returning primary holds beyond its term", func() {
-		d := deploy(shape{groups: 1, proxies: 7})
-		d.settledView()
+		d := deploy(deployOptions{groups: 1, proxies: 7})
+		d.awaitStableView()
 		before := d.row()
-		from := d.proxyIn(d.placeOf(before.Primary), true)
+		from := d.proxyIn(d.dataCentreOf(before.Primary), true)
 		for _, p := range before.Promoters {
 			d.databases[p.Replica].freeze()
 		}
-		Expect(d.putAt(before.Primary, "boat-14", "surplus")).To(Succeed())
+		Expect(d.putDirectly(before.Primary, "boat-14", "surplus")).To(Succeed())
 		d.databases[before.Primary].kill()
 		for _, p := range before.Promoters {
 			d.databases[p.Replica].thaw()
@@ -194,18 +196,18 @@
 		}
 	})
 
-	// The caller sees slower answers and no gap. Between data centres everything
-	// takes ten times as long: late is not dead, so nobody promotes.
+	// The caller's writes become slower but have no gap. Links between data centres
+	// are ten times as slow. Late answers are not a reason to promote a replica.
 	It("promotes nobody while links are slow", func() {
-		d := deploy(shape{groups: 1, proxies: 7, links: true})
-		d.settledView()
+		d := deploy(deployOptions{groups: 1, proxies: 7, links: true})
+		d.awaitStableView()
 		before := d.row()
-		w := d.startWriter(d.proxyIn(d.placeOf(before.Primary), true), "landing-report", "boat-15")
-		w.writesGoOn(20)
+		w := d.startWriter(d.proxyIn(d.dataCentreOf(before.Primary), true), "landing-report", "boat-15")
+		w.awaitMoreWrites(20)
 		d.delayLinks(10 * time.Millisecond)
 		time.Sleep(5 * time.Second)
 		Expect(d.row().Term).To(Equal(before.Term))
-		w.writesGoOn(20)
+		w.awaitMoreWrites(20)
 		d.delayLinks(0)
 		w.end()
 		Expect(d.row().Term).To(Equal(before.Term))
--- a/internal/integration/garbage_test.go
+++ b/internal/integration/garbage_test.go
@@ -10,16 +10,16 @@
 	. "github.com/onsi/gomega"
 )
 
-// Connections per kind of garbage.
+// garbageConnections is the number of connections per kind of garbage.
 const garbageConnections = 60
 
-// Connections come that never become sessions: a balancer's probe that closes
-// at once, half a start-up message, a huge length, random bytes. The callers
-// beside them see nothing of it; a daemon that ended would refuse them all.
+// Some connections never become sessions: a load balancer's probe that closes at
+// once, half a start-up message, a huge length, random bytes. They must not affect
+// other sessions; if one of them crashed the daemon, all sessions would end.
 var _ = Describe("Connections that bring garbage", func() {
 	It("do not disturb a session beside them", func() {
-		d := deploy(shape{groups: 1, proxies: 1, edit: addClasses})
-		beside := d.mustConnect(0, classNote)
+		d := deploy(deployOptions{groups: 1, proxies: 1, editConfig: addClasses})
+		bystander := d.mustConnect(0, classNote)
 		random := rand.New(rand.NewPCG(1, 2))
 		noise := make([]byte, 64)
 		for i := range noise {
@@ -43,7 +43,7 @@
 				_, _ = io.Copy(io.Discard, c)
 				c.Close()
 			}
-			Expect(put(beside, "garbage", kind)).To(Succeed(), kind)
+			Expect(put(bystander, "garbage", kind)).To(Succeed(), kind)
 		}
 		Expect(put(d.mustConnect(0, classNote), "garbage", "after")).To(Succeed())
 	})
--- a/internal/integration/help_test.go
+++ b/internal/integration/help_test.go
@@ -16,10 +16,10 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Classes that addClasses adds: writes that wait for no replica.
+// Write classes of addClasses, which wait for no replica.
 const (
-	classNote = "note" // may be repeated
-	classOnce = "once" // may not
+	classNote = "note" // requests may be repeated
+	classOnce = "once" // requests may not be repeated
 )
 
 func addClasses(doc *config.Document) {
@@ -33,8 +33,8 @@
 	doc.Classes = append(doc.Classes, note, once)
 }
 
-// state returns the SQLSTATE of an error, or "".
-func state(err error) string {
+// sqlState returns the SQLSTATE of an error, or "" when it has none.
+func sqlState(err error) string {
 	var pgErr *pgconn.PgError
 	if errors.As(err, &pgErr) {
 		return pgErr.Code
@@ -42,14 +42,14 @@
 	return ""
 }
 
-// within bounds a call of a test; the caller's deadline would otherwise be its own.
-func within(d time.Duration) context.Context {
+// timeoutContext returns a context with a timeout that ends at the latest with the spec.
+func timeoutContext(d time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	DeferCleanup(cancel)
 	return ctx
 }
 
-// control runs a control statement at a database itself.
+// control runs a control statement on a database directly, not through a proxy.
 func (d *deployment) control(id topology.TargetID, sql string) {
 	address := ""
 	for _, g := range d.doc.Groups {
@@ -60,27 +60,27 @@
 		}
 	}
 	c := direct(address, "buckthornshore.control", "on")
-	_, err := c.Exec(within(5*time.Second), sql, pgx.QueryExecModeSimpleProtocol)
+	_, err := c.Exec(timeoutContext(5*time.Second), sql, pgx.QueryExecModeSimpleProtocol)
 	Expect(err).NotTo(HaveOccurred())
 }
 
-// direct connects to a database itself.
+// direct connects to a database directly, not through a proxy.
 func direct(address string, parameters ...string) *pgx.Conn {
 	conf, err := pgx.ParseConfig("postgres://test@" + address + "/quota?sslmode=disable")
 	Expect(err).NotTo(HaveOccurred())
 	for n := 0; n+1 < len(parameters); n += 2 {
 		conf.RuntimeParams[parameters[n]] = parameters[n+1]
 	}
-	c, err := pgx.ConnectConfig(within(5*time.Second), conf)
+	c, err := pgx.ConnectConfig(timeoutContext(5*time.Second), conf)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(func() { c.Close(context.Background()) })
 	return c
 }
 
-// set changes session options, given as name, value pairs.
+// set changes session options, given as pairs of name and value.
 func set(c *pgx.Conn, options ...string) {
 	for n := 0; n+1 < len(options); n += 2 {
-		_, err := c.Exec(within(5*time.Second), "set buckthornshore."+options[n]+" = '"+options[n+1]+"'", pgx.QueryExecModeSimpleProtocol)
+		_, err := c.Exec(timeoutContext(5*time.Second), "set buckthornshore."+options[n]+" = '"+options[n+1]+"'", pgx.QueryExecModeSimpleProtocol)
 		Expect(err).NotTo(HaveOccurred())
 	}
 }
--- a/internal/integration/limits_test.go
+++ b/internal/integration/limits_test.go
@@ -18,7 +18,7 @@
 	const maxSessions, maxRequests, resultBytes = 12, 3, 64 << 10
 	var d *deployment
 	BeforeAll(func() {
-		d = deploy(shape{groups: 1, proxies: 3, edit: func(doc *config.Document) {
+		d = deploy(deployOptions{groups: 1, proxies: 3, editConfig: func(doc *config.Document) {
 			addClasses(doc)
 			doc.Members[0].MaxSessions = maxSessions
 			doc.Members[0].MaxRequests = maxRequests
@@ -26,19 +26,20 @@
 		}})
 	})
 	exec := func(c *pgx.Conn, sql string) error {
-		_, err := c.Exec(within(10*time.Second), sql, pgx.QueryExecModeSimpleProtocol)
+		_, err := c.Exec(timeoutContext(10*time.Second), sql, pgx.QueryExecModeSimpleProtocol)
 		return err
 	}
-	// well shows that others are served as before.
-	well := func() {
+	// expectOthersServed checks that other callers are still served.
+	expectOthersServed := func() {
 		c := d.mustConnect(0, classNote)
 		defer c.Close(context.Background())
 		ExpectWithOffset(1, put(c, "well", "1")).To(Succeed())
 	}
 
 	It("refuses a member's sessions and requests beyond its limits at once", func() {
-		// The daemon learns of a close, also of the one before this spec, when its session reads next.
-		connectOnceFree := func() *pgx.Conn {
+		// The daemon detects that a caller closed its session only at the session's next
+		// read; this also holds for sessions that an earlier spec closed.
+		connectWhenFree := func() *pgx.Conn {
 			var c *pgx.Conn
 			Eventually(func() (err error) {
 				c, err = d.connect(0, classNote)
@@ -49,17 +50,17 @@
 		}
 		var sessions []*pgx.Conn
 		for range maxSessions {
-			sessions = append(sessions, connectOnceFree())
+			sessions = append(sessions, connectWhenFree())
 		}
 		_, err := d.connect(0, classNote)
-		Expect(state(err)).To(Equal("BT102"))
+		Expect(sqlState(err)).To(Equal("BT102"))
 		ended := make(chan error, maxRequests)
 		for _, c := range sessions[:maxRequests] {
 			go func() { ended <- exec(c, "select pg_sleep(0.6)") }()
 		}
 		time.Sleep(200 * time.Millisecond)
 		err = exec(sessions[maxRequests], "select 1")
-		Expect(state(err)).To(Equal("BT106"))
+		Expect(sqlState(err)).To(Equal("BT106"))
 		Expect(err.Error()).To(ContainSubstring("retry after"))
 		for range maxRequests {
 			Eventually(ended).WithTimeout(5 * time.Second).Should(Receive(BeNil()))
@@ -67,34 +68,35 @@
 		for _, c := range sessions {
 			c.Close(context.Background())
 		}
-		Expect(exec(connectOnceFree(), "select 1")).To(Succeed())
+		Expect(exec(connectWhenFree(), "select 1")).To(Succeed())
 	})
 
-	// The caller gets a numbered error and nothing half; its session goes on.
-	It("answers nothing of a result that is too large", func() {
+	// The caller gets an error code and no partial result, and can go on using its
+	// session.
+	It("returns no part of a result that is too large", func() {
 		c := d.mustConnect(0, classNote)
 		for _, key := range []string{"big-1", "big-2", "big-3"} {
 			Expect(put(c, key, strings.Repeat("x", resultBytes/2))).To(Succeed())
 		}
-		tag, err := c.Exec(within(5*time.Second), "select k, v from quota where k like 'big-%'", pgx.QueryExecModeSimpleProtocol)
-		Expect(state(err)).To(Equal("BT012"))
+		tag, err := c.Exec(timeoutContext(5*time.Second), "select k, v from quota where k like 'big-%'", pgx.QueryExecModeSimpleProtocol)
+		Expect(sqlState(err)).To(Equal("BT012"))
 		Expect(tag.RowsAffected()).To(BeZero())
 		value, err := get(c, "big-1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(value).To(HaveLen(resultBytes / 2))
 	})
 
-	// Callers that ask and never read hold neither a slot nor a connection: with
-	// more of them than there are slots, the others are served.
+	// Callers that send requests and never read the answers occupy neither a slot nor
+	// a connection: with more of them than there are slots, other callers are served.
 	It("lets no caller that does not read hold up the others", func() {
 		c := d.mustConnect(0, classNote)
 		Expect(put(c, "wide", strings.Repeat("x", resultBytes/2))).To(Succeed())
 		for range 6 {
-			lazy := d.mustConnect(0, classNote).PgConn()
+			nonReader := d.mustConnect(0, classNote).PgConn()
 			for range 100 {
-				lazy.Frontend().Send(&pgproto3.Query{String: "select v from quota where k = 'wide'"})
+				nonReader.Frontend().Send(&pgproto3.Query{String: "select v from quota where k = 'wide'"})
 			}
-			go func() { _ = lazy.Frontend().Flush() }()
+			go func() { _ = nonReader.Frontend().Flush() }()
 		}
 		time.Sleep(300 * time.Millisecond)
 		for range 10 {
@@ -119,7 +121,7 @@
 				}
 			}
 			Expect(string(seen)).To(ContainSubstring(code))
-			well()
+			expectOthersServed()
 		},
 		Entry("garbage at the start", func(nc net.Conn) { _, _ = nc.Write([]byte("GET / HTTP/1.1\r\n\r\n")) }, "BT000"),
 		Entry("a huge start-up message", func(nc net.Conn) { _, _ = nc.Write([]byte{0x7f, 0xff, 0xff, 0xff, 0, 3, 0, 0}) }, "BT000"),
@@ -134,10 +136,10 @@
 		Entry("a function call", startBytes([]byte{'F', 0, 0, 0, 14, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0}), "BT000"),
 	)
 
-	It("takes no member and no service for a session that do not belong together", func() {
+	It("refuses a member and a service for a session that do not belong together", func() {
 		c := d.mustConnect(1, classNote)
-		Expect(state(exec(c, "set buckthornshore.member = 'other'"))).To(Equal("BT002"))
-		Expect(state(exec(c, "set buckthornshore.service = 'nobody'"))).To(Equal("BT003"))
+		Expect(sqlState(exec(c, "set buckthornshore.member = 'other'"))).To(Equal("BT002"))
+		Expect(sqlState(exec(c, "set buckthornshore.service = 'nobody'"))).To(Equal("BT003"))
 		Expect(put(c, "member", "1")).To(Succeed())
 	})
 
@@ -152,24 +154,24 @@
 		token := owner.PgConn().ParameterStatus("buckthornshore.token")
 		Expect(token).NotTo(BeEmpty())
 		_, err = d.connect(1, classNote, "session", "thief", "token", token)
-		Expect(state(err)).To(HavePrefix("BT00"))
+		Expect(sqlState(err)).To(HavePrefix("BT00"))
 		forged := []byte(token)
 		forged[len(forged)/2] ^= 1
 		_, err = d.connect(1, classNote, "session", "owner", "token", string(forged))
-		Expect(state(err)).To(HavePrefix("BT00"))
+		Expect(sqlState(err)).To(HavePrefix("BT00"))
 
 		c := d.mustConnect(1, classNote).PgConn()
-		p := c.StartPipeline(within(20 * time.Second))
+		p := c.StartPipeline(timeoutContext(20 * time.Second))
 		for i := range 3000 {
 			p.SendPrepare("s"+strings.Repeat("x", i%7)+string(rune('a'+i%26))+time.Duration(i).String(), "select v from quota where k = $1", nil)
 		}
 		Expect(p.Sync()).To(Succeed())
-		Expect(state(p.Close())).To(Or(Equal("BT000"), Equal("BT007")))
-		well()
+		Expect(sqlState(p.Close())).To(Or(Equal("BT000"), Equal("BT007")))
+		expectOthersServed()
 	})
 })
 
-// startWith sends a start-up message with options, given as name, value pairs.
+// startWith sends a start-up message with options, given as pairs of name and value.
 func startWith(options ...string) func(net.Conn) {
 	return func(nc net.Conn) {
 		parameters := map[string]string{"user": "u"}
--- a/internal/integration/link_test.go
+++ b/internal/integration/link_test.go
@@ -11,10 +11,10 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// platformDC stands for the platform's place, which is in no data centre.
+// platformDC is the value used for the platform, which is in no data centre.
 const platformDC topology.DataCentre = "platform"
 
-// link is what one data centre sends to an address in another.
+// link carries the connections from one data centre to an address in another.
 type link struct {
 	*network.Link
 	from, to topology.DataCentre
@@ -27,25 +27,26 @@
 	return &link{Link: l, from: from, to: to}
 }
 
-// linkAll puts a link between each proxy and everything outside its data centre.
+// linkAll puts a link between each data centre's proxies and every address outside
+// the data centre.
 func (d *deployment) linkAll() {
-	places := map[string]topology.DataCentre{}
-	for _, p := range d.plans {
-		places[p.PeerAddress] = p.DataCentre
+	dataCentres := map[string]topology.DataCentre{}
+	for _, p := range d.proxySettings {
+		dataCentres[p.PeerAddress] = p.DataCentre
 	}
 	for _, g := range d.doc.Groups {
 		for _, t := range g.Targets {
-			places[t.Address] = t.DataCentre
+			dataCentres[t.Address] = t.DataCentre
 		}
 	}
 	u, err := url.Parse(d.url)
 	Expect(err).NotTo(HaveOccurred())
-	places[u.Host] = platformDC
+	dataCentres[u.Host] = platformDC
 	byPair := map[[2]string]*link{}
-	for i := range d.plans {
-		p := &d.plans[i]
+	for i := range d.proxySettings {
+		p := &d.proxySettings[i]
 		p.AddressMap = map[string]string{}
-		for address, dc := range places {
+		for address, dc := range dataCentres {
 			if dc == p.DataCentre {
 				continue
 			}
@@ -59,7 +60,7 @@
 	}
 }
 
-// cutBetween cuts or heals what goes between a data centre and the others that
+// cutBetween cuts or restores the links between a data centre and the others that
 // match, in both directions.
 func (d *deployment) cutBetween(dc topology.DataCentre, other func(topology.DataCentre) bool, cut bool) {
 	for _, l := range d.links {
@@ -69,7 +70,7 @@
 	}
 }
 
-// delayLinks holds back everything between data centres, one way.
+// delayLinks sets the one-way delay of all links.
 func (d *deployment) delayLinks(delay time.Duration) {
 	for _, l := range d.links {
 		l.SetDelay(delay)
--- a/internal/integration/load_test.go
+++ b/internal/integration/load_test.go
@@ -16,7 +16,7 @@
 	"github.com/buckthornshore/buckthornshore/pkg/config"
 )
 
-// profile is the shipped one with the addresses of the deployment.
+// profile returns the shipped load profile with the addresses of the deployment.
 func (d *deployment) profile(duration time.Duration) loadtool.Profile {
 	p, err := loadtool.ReadProfile("../../examples/load-kalakvoot.json")
 	Expect(err).NotTo(HaveOccurred())
@@ -55,12 +55,12 @@
 }
 
 var _ = Describe("Under load", func() {
-	// The callers see refusals and late answers for a while, and nothing else.
-	// The primary is killed under load; a replica that holds every acknowledged
-	// write is promoted. What the callers saw and what the rows hold afterwards
-	// is compared request by request.
+	// The callers get refusals and late answers for a while, and no wrong answer. The
+	// primary is killed under load; a replica that has every acknowledged write is
+	// promoted. The answers that the callers got are compared, request by request,
+	// with the rows afterwards.
 	It("keeps the callers' history whole while a primary is killed", func() {
-		d := deploy(shape{groups: 1, proxies: 3})
+		d := deploy(deployOptions{groups: 1, proxies: 3})
 		p := d.profile(6 * time.Second)
 		p.Faults = []loadtool.Fault{{At: settings.Duration(2 * time.Second), Action: loadtool.Kill, Target: "primary:quota-ledger/g1"}}
 		report := d.load(p)
@@ -73,7 +73,7 @@
 	})
 
 	It("shows at the admin address that it is ready and who served the reads", func() {
-		d := deploy(shape{groups: 1, proxies: 3})
+		d := deploy(deployOptions{groups: 1, proxies: 3})
 		for _, address := range d.admins {
 			Eventually(func() int {
 				status, _ := fetch(address, metrics.PathReady)
--- a/internal/integration/lost_write_test.go
+++ b/internal/integration/lost_write_test.go
@@ -8,14 +8,14 @@
 )
 
 var _ = Describe("A lost write", func() {
-	// The caller is told once that its acknowledged write is lost (BT206), before
-	// any answer without it. The class waits for no replica and the replicas lag:
-	// the primary dies with the write, and a replica without it is promoted.
+	// The caller gets one error that its acknowledged write is lost (BT206), before
+	// any answer that lacks the write. The class waits for no replica and the replicas
+	// lag: the primary dies with the write, and a replica without it is promoted.
 	It("is reported once, never hidden", func() {
-		d := deploy(shape{groups: 1, proxies: 3, edit: addClasses})
+		d := deploy(deployOptions{groups: 1, proxies: 3, editConfig: addClasses})
 		session := d.mustConnect(0, classNote)
 		Expect(put(session, "boat-1", "old")).To(Succeed())
-		d.settled()
+		d.awaitSettled()
 		old := d.row().Primary
 		for _, t := range d.doc.Groups[0].Targets {
 			if t.ID != old {
@@ -30,7 +30,7 @@
 			if err == nil {
 				Expect(value).To(Equal("new"), "a read without the lost write came before the report")
 			}
-			return state(err)
+			return sqlState(err)
 		}).WithTimeout(30 * time.Second).Should(Equal("BT206"))
 		Expect(get(session, "boat-1")).To(Equal("old"))
 	})
--- a/internal/integration/measure_test.go
+++ b/internal/integration/measure_test.go
@@ -13,31 +13,32 @@
 	. "github.com/onsi/gomega"
 )
 
-// measureEnv has the measurements run; they are no tests and take their time.
+// measureEnv is the environment variable that enables the measurements. They
+// check nothing and take long.
 const measureEnv = "BTS_MEASURE"
 
 var _ = Describe("Measurements", func() {
-	// Pairs of runs, the direct connection and through one daemon, by turns: the
-	// CPU that one simple statement costs the daemon, and how long it takes.
+	// Alternates runs over a direct connection and runs through one or two daemons.
+	// Measures the CPU time that a simple statement costs the daemons and its latency.
 	It("of CPU per statement through one daemon", func() {
 		if os.Getenv(measureEnv) == "" {
 			Skip(measureEnv + " is not set")
 		}
 		const pairs, statements = 7, 3000
-		d := deploy(shape{groups: 1, proxies: 2, edit: addClasses, databaseArgs: []string{"--statement-time", "0s"}})
-		d.settled()
-		straight := direct(d.doc.Groups[0].Targets[0].Address)
+		d := deploy(deployOptions{groups: 1, proxies: 2, editConfig: addClasses, databaseArgs: []string{"--statement-time", "0s"}})
+		d.awaitSettled()
+		directConn := direct(d.doc.Groups[0].Targets[0].Address)
 		for entry, name := range []string{"one daemon", "two daemons"} {
-			through := d.mustConnect(entry, classNote)
+			proxyConn := d.mustConnect(entry, classNote)
 			for _, sql := range []string{"select v from quota where k = 'm'", putLiteral} {
 				var cpu, latency, directLatency []time.Duration
 				for range pairs {
 					begun := time.Now()
-					runStatements(straight, sql, statements)
+					runStatements(directConn, sql, statements)
 					directLatency = append(directLatency, time.Since(begun)/statements)
 					before := cpuOf(d.proxies[0]) + cpuOf(d.proxies[1])
 					begun = time.Now()
-					runStatements(through, sql, statements)
+					runStatements(proxyConn, sql, statements)
 					latency = append(latency, time.Since(begun)/statements)
 					cpu = append(cpu, (cpuOf(d.proxies[0])+cpuOf(d.proxies[1])-before)/statements)
 				}
@@ -51,7 +52,7 @@
 const putLiteral = "insert into quota (k, v) values ('m', '1') on conflict (k) do update set v = excluded.v"
 
 func runStatements(c *pgx.Conn, sql string, n int) {
-	ctx := within(time.Minute)
+	ctx := timeoutContext(time.Minute)
 	for range n {
 		_, err := c.Exec(ctx, sql, pgx.QueryExecModeSimpleProtocol)
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/integration/once_test.go
+++ b/internal/integration/once_test.go
@@ -13,7 +13,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// outcome asks until it is told; failures of a failover pass.
+// outcome queries the outcome of a request until it gets an answer; errors during
+// a failover are retried.
 func (d *deployment) outcome(i int, id string) string {
 	var answer string
 	Eventually(func() error {
@@ -22,75 +23,76 @@
 			return err
 		}
 		defer c.Close(context.Background())
-		return c.QueryRow(within(5*time.Second), "select buckthornshore.outcome('"+id+"')").Scan(&answer)
+		return c.QueryRow(timeoutContext(5*time.Second), "select buckthornshore.outcome('"+id+"')").Scan(&answer)
 	}).WithTimeout(30 * time.Second).WithPolling(50 * time.Millisecond).Should(Succeed())
 	return answer
 }
 
 var _ = Describe("A request that may not be repeated", func() {
-	// The caller asks by its request's id and the answer is for good: asked before
-	// the request came, it has not run, and when it comes it is refused.
+	// The caller queries the outcome by its request's id, and the answer never
+	// changes: if it is queried before the request arrives, the answer is "not run",
+	// and the request is refused when it arrives.
 	It("has an outcome that stays true", func() {
-		d := deploy(shape{groups: 1, proxies: 3, edit: addClasses})
+		d := deploy(deployOptions{groups: 1, proxies: 3, editConfig: addClasses})
 		c := d.mustConnect(0, classOnce, "request_id", "r-1")
 		Expect(put(c, "r-1", "1")).To(Succeed())
 		Expect(d.outcome(1, "r-1")).To(Equal("run"))
 		Expect(d.outcome(2, "r-2")).To(Equal("not run"))
 		set(c, "request_id", "r-2")
-		Expect(state(put(c, "r-2", "1"))).To(Equal("BT212"))
+		Expect(sqlState(put(c, "r-2", "1"))).To(Equal("BT212"))
 		Expect(d.outcome(1, "r-2")).To(Equal("not run"))
 		_, err := get(d.mustConnect(1, "quota-balance"), "r-2")
 		Expect(err).To(MatchError(pgx.ErrNoRows))
 	})
 
-	// Each caller sees its confirmation done, refused as not run, or unknown at
-	// once and without a time to come back. An entry, the pooler and the primary
-	// die by kill -9 at random moments. What was told must be what the rows show,
-	// and a second run would fail on its key.
+	// Each confirmation is acknowledged, refused as not run, or reported as unknown
+	// without a time to retry after. An entry proxy, the pooler and the primary are
+	// killed with SIGKILL at random times. The reported outcomes must match the rows,
+	// and a second run would fail on the duplicate key.
 	It("never runs twice and is never reported wrongly", func() {
-		d := deploy(shape{groups: 1, proxies: 6, edit: addClasses})
-		d.settled()
+		d := deploy(deployOptions{groups: 1, proxies: 6, editConfig: addClasses})
+		d.awaitSettled()
 		random := rand.New(rand.NewPCG(uint64(GinkgoRandomSeed()), 1))
 		pooler := d.poolerOfPrimary()
-		entry, safe := (pooler+1)%len(d.proxies), (pooler+2)%len(d.proxies)
+		entry, survivor := (pooler+1)%len(d.proxies), (pooler+2)%len(d.proxies)
 		var callers []*confirmer
-		for n, at := range []int{entry, safe, entry, safe} {
-			callers = append(callers, d.confirm(n, at, safe))
+		for n, at := range []int{entry, survivor, entry, survivor} {
+			callers = append(callers, d.startConfirmer(n, at, survivor))
 		}
 		for _, p := range []*process{d.proxies[entry], d.proxies[pooler], d.databases[d.row().Primary]} {
 			time.Sleep(time.Duration(200+random.IntN(300)) * time.Millisecond)
 			p.kill()
 		}
 		time.Sleep(3 * time.Second)
-		ends := map[string]int{}
+		resultCounts := map[string]int{}
 		for _, c := range callers {
-			for id, end := range c.stop() {
-				ends[end]++
-				if end != ended || ends[end]%5 == 1 { // A sample of what succeeded.
-					d.checkEnd(safe, id, end)
+			for id, result := range c.stop() {
+				resultCounts[result]++
+				if result != resultDone || resultCounts[result]%5 == 1 { // Of those that succeeded, check a sample.
+					d.checkResult(survivor, id, result)
 				}
 			}
 		}
-		AddReportEntry("ends", ends)
-		Expect(ends[ended]).To(BeNumerically(">", 20))
+		AddReportEntry("results", resultCounts)
+		Expect(resultCounts[resultDone]).To(BeNumerically(">", 20))
 	})
 })
 
-// Ends of a confirmation besides the states of its error.
+// Results of a confirmation other than the SQLSTATE of an error.
 const (
-	ended = "done"
-	cut   = "connection cut"
+	resultDone          = "done"
+	resultConnectionCut = "connection cut"
 )
 
 // confirmer sends confirmations one after the other, each with an id of its own.
 type confirmer struct {
-	ends map[string]string
-	quit chan struct{}
-	done chan struct{}
+	results map[string]string
+	quit    chan struct{}
+	done    chan struct{}
 }
 
-func (d *deployment) confirm(n, at, safe int) *confirmer {
-	c := &confirmer{ends: map[string]string{}, quit: make(chan struct{}), done: make(chan struct{})}
+func (d *deployment) startConfirmer(n, at, survivor int) *confirmer {
+	c := &confirmer{results: map[string]string{}, quit: make(chan struct{}), done: make(chan struct{})}
 	go func() {
 		defer GinkgoRecover()
 		defer close(c.done)
@@ -103,10 +105,10 @@
 			id := fmt.Sprintf("c%d-%d", n, i)
 			conn, err := d.connect(at, classOnce, "request_id", id)
 			if err != nil {
-				at = safe // Its proxy has been killed.
+				at = survivor // The proxy has been killed.
 				continue
 			}
-			c.ends[id] = confirmOnce(conn, id)
+			c.results[id] = confirmOnce(conn, id)
 		}
 	}()
 	return c
@@ -120,12 +122,12 @@
 	var refused *pgconn.PgError
 	switch {
 	case err == nil:
-		return ended
+		return resultDone
 	case !errors.As(err, &refused):
-		return cut
+		return resultConnectionCut
 	}
 	if refused.Code == "BT205" {
-		Expect(refused.Message).NotTo(ContainSubstring("retry after"), "it must not come back")
+		Expect(refused.Message).NotTo(ContainSubstring("retry after"), "a request with an unknown outcome must not be repeated")
 		Expect(refused.Hint).To(BeEmpty())
 	}
 	return refused.Code
@@ -134,23 +136,25 @@
 func (c *confirmer) stop() map[string]string {
 	close(c.quit)
 	Eventually(c.done).WithTimeout(15 * time.Second).Should(BeClosed())
-	return c.ends
+	return c.results
 }
 
-// checkEnd compares what a caller was told with the rows and the outcome.
-func (d *deployment) checkEnd(at int, id, end string) {
-	told := d.outcome(at, id)
+// checkResult compares the result that a caller got with the rows and with the
+// outcome that the proxies report.
+func (d *deployment) checkResult(at int, id, result string) {
+	reported := d.outcome(at, id)
 	c := d.mustConnect(at, classNote)
 	defer c.Close(context.Background())
 	rows := ""
-	err := c.QueryRow(within(5*time.Second), "select v from confirmations where k = '"+id+"'").Scan(&rows)
+	err := c.QueryRow(timeoutContext(5*time.Second), "select v from confirmations where k = '"+id+"'").Scan(&rows)
 	Expect(err).To(Or(BeNil(), MatchError(pgx.ErrNoRows)))
-	Expect(told == "run").To(Equal(rows == "1"), "%s ended as %s, outcome %s, row %q", id, end, told, rows)
-	switch end {
-	case "BT205", "BT208", cut: // Unknown to the caller until it asked.
-	case ended:
-		// Done, yet a class that waits for no replica may lose it with its primary.
+	Expect(reported == "run").To(Equal(rows == "1"), "%s ended as %s, outcome %s, row %q", id, result, reported, rows)
+	switch result {
+	case "BT205", "BT208", resultConnectionCut: // The result is unknown to the caller until it queries the outcome.
+	case resultDone:
+		// It ran, but a class that waits for no replica may lose the write when the
+		// primary dies.
 	default:
-		Expect(told).To(Equal("not run"), "%s was refused as %s", id, end)
+		Expect(reported).To(Equal("not run"), "%s was refused as %s", id, result)
 	}
 }
--- a/internal/integration/operators_test.go
+++ b/internal/integration/operators_test.go
@@ -22,7 +22,8 @@
 
 const operatorSecret = "the operators' secret of the tests"
 
-// ctl runs the operators' tool and returns its exit code and output.
+// ctl runs the operators' command-line tool and returns its exit code, standard
+// output and standard error.
 func (d *deployment) ctl(secret string, argv ...string) (int, string, string) {
 	raw, err := json.Marshal(ctl.Settings{
 		PlatformURL: d.url, Operator: "mari", Daemon: d.admins[0],
@@ -43,18 +44,18 @@
 	return stdout
 }
 
-// ask decodes the JSON answer of a command.
-func ask[T any](d *deployment, argv ...string) (value T) {
+// ctlJSON runs a command of the operators' tool and decodes its JSON output.
+func ctlJSON[T any](d *deployment, argv ...string) (value T) {
 	GinkgoHelper()
 	Expect(json.Unmarshal([]byte(d.mustCtl(append(argv, "--json")...)), &value)).To(Succeed())
 	return value
 }
 
-func (d *deployment) shownPrimary() string {
-	return string(ask[[]status.Group](d, "status", "groups")[0].Primary)
+func (d *deployment) reportedPrimary() string {
+	return string(ctlJSON[[]status.Group](d, "status", "groups")[0].Primary)
 }
 
-// counter adds up a counter of all proxies.
+// counter returns the sum of a counter over all proxies.
 func (d *deployment) counter(name string) (sum int64) {
 	GinkgoHelper()
 	for _, address := range d.admins {
@@ -72,8 +73,9 @@
 	return sum
 }
 
-// retriesOfReads reads at every proxy and counts the attempts that failed.
-func (d *deployment) retriesOfReads() int64 {
+// countReadRetries reads through every proxy and returns how many attempts were
+// retried.
+func (d *deployment) countReadRetries() int64 {
 	GinkgoHelper()
 	before := d.counter(metrics.Retries)
 	for i := range d.proxies {
@@ -87,21 +89,21 @@
 
 var _ = Describe("Operators", func() {
 	It("ask daemons, and are refused without the secret", func() {
-		d := deploy(shape{groups: 1, proxies: 3})
-		Expect(ask[[]status.Target](d, "status", "targets")).To(HaveLen(3))
-		Expect(ask[status.Sessions](d, "status", "sessions").Serving).To(BeTrue())
+		d := deploy(deployOptions{groups: 1, proxies: 3})
+		Expect(ctlJSON[[]status.Target](d, "status", "targets")).To(HaveLen(3))
+		Expect(ctlJSON[status.Sessions](d, "status", "sessions").Serving).To(BeTrue())
 		d.mustCtl("apply", d.configFile(), "--expect-version", "0")
 		d.mustCtl("preset", "switch", "peak")
 		Eventually(func(g Gomega) {
-			all := ask[[]status.Config](d, "config", "status")
+			all := ctlJSON[[]status.Config](d, "config", "status")
 			g.Expect(all).To(HaveLen(3))
 			for _, c := range all {
 				g.Expect(c.Config).To(Equal(uint64(1)))
 				g.Expect(c.Preset).To(Equal("peak"))
 			}
 		}).WithTimeout(10 * time.Second).Should(Succeed())
-		why := ask[routing.Explanation](d, "explain", "--service", "quota-ledger", "--class", "landing-report", "--group", "g1")
-		Expect(string(why.Chosen)).To(Equal(d.shownPrimary()))
+		explanation := ctlJSON[routing.Explanation](d, "explain", "--service", "quota-ledger", "--class", "landing-report", "--group", "g1")
+		Expect(string(explanation.Chosen)).To(Equal(d.reportedPrimary()))
 		code, _, stderr := d.ctl("some other secret, wrong", "status", "vms")
 		Expect(code).To(Equal(ctl.ExitRefused))
 		Expect(stderr).To(HavePrefix("BTS-1306 "))
@@ -113,33 +115,33 @@
 		Eventually(stopped).WithTimeout(20 * time.Second).Should(Receive(BeNil()))
 	})
 
-	// The callers see no request fail while an operator switches the primary over
-	// and then drains the new one, which is switched over by itself. Afterwards the
-	// leaving target hangs: reads that still went to it would have to be retried.
+	// No request fails while an operator switches the primary over and then drains the
+	// new primary, which starts a switchover automatically. Afterwards the leaving
+	// target is frozen: reads that were still routed to it would have to be retried.
 	It("switch over and drain under load without a failed request", func() {
-		d := deploy(shape{groups: 1, proxies: 3})
+		d := deploy(deployOptions{groups: 1, proxies: 3})
 		d.mustCtl("apply", d.configFile(), "--expect-version", "0")
 		l := d.startCallers(6)
-		before := d.shownPrimary()
+		before := d.reportedPrimary()
 		d.mustCtl("switchover", "quota-ledger/g1")
-		leaving := d.shownPrimary()
+		leaving := d.reportedPrimary()
 		Expect(leaving).NotTo(Equal(before))
 		d.mustCtl("drain", leaving)
-		Eventually(d.shownPrimary).WithTimeout(10 * time.Second).ShouldNot(Equal(leaving))
+		Eventually(d.reportedPrimary).WithTimeout(10 * time.Second).ShouldNot(Equal(leaving))
 		l.end()
 		Eventually(func(g Gomega) {
-			for _, c := range ask[[]status.Config](d, "config", "status") {
+			for _, c := range ctlJSON[[]status.Config](d, "config", "status") {
 				g.Expect(c.Config).To(Equal(uint64(2)))
 			}
 		}).WithTimeout(10 * time.Second).Should(Succeed())
-		Eventually(d.retriesOfReads).WithTimeout(15 * time.Second).Should(BeZero())
-		why := ask[routing.Explanation](d, "explain", "--service", "quota-ledger", "--class", "balance-overview", "--group", "g1")
-		Expect(why.Candidates).To(ContainElement(And(
+		Eventually(d.countReadRetries).WithTimeout(15 * time.Second).Should(BeZero())
+		explanation := ctlJSON[routing.Explanation](d, "explain", "--service", "quota-ledger", "--class", "balance-overview", "--group", "g1")
+		Expect(explanation.Candidates).To(ContainElement(And(
 			HaveField("Target", topology.TargetID(leaving)), HaveField("Reason", routing.TargetLeaving),
 		)))
 		hung := d.databases[topology.TargetID(leaving)]
 		hung.freeze()
 		defer hung.thaw()
-		Expect(d.retriesOfReads()).To(BeZero())
+		Expect(d.countReadRetries()).To(BeZero())
 	})
 })
--- a/internal/integration/patience_test.go
+++ b/internal/integration/patience_test.go
@@ -9,15 +9,16 @@
 )
 
 var _ = Describe("A write with a long deadline", func() {
-	// The caller waits, and its report is taken. The primary is dead and the
-	// platform out, so nobody may promote: for longer than the retry policy's
-	// number of attempts lasts, but not the report's three minutes.
+	// The caller waits, and its write succeeds. The primary is dead and the platform
+	// is out, so no replica can be promoted. The outage is longer than the attempts
+	// of the retry policy last, but shorter than the class's deadline of three
+	// minutes.
 	It("outlasts an interruption", func() {
-		d := deploy(shape{groups: 1, proxies: 3})
-		d.settled()
+		d := deploy(deployOptions{groups: 1, proxies: 3})
+		d.awaitSettled()
 		before := d.row()
 		c := d.mustConnect(1, "landing-report")
-		d.platformDown(true)
+		d.setPlatformDown(true)
 		d.databases[before.Primary].kill()
 		ended := make(chan error, 1)
 		go func() {
@@ -27,7 +28,7 @@
 			ended <- err
 		}()
 		Consistently(ended, 7*time.Second).ShouldNot(Receive())
-		d.platformDown(false)
+		d.setPlatformDown(false)
 		Eventually(ended).WithTimeout(30 * time.Second).Should(Receive(BeNil()))
 		Expect(get(d.mustConnect(2, "quota-balance"), "patient")).To(Equal("1"))
 	})
--- a/internal/integration/process_test.go
+++ b/internal/integration/process_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// process is one running program; its log is kept for a failed test.
+// process is one running program; its log is printed when a test fails.
 type process struct {
 	name string
 	args []string
@@ -48,7 +48,7 @@
 
 func (p *process) signal(s syscall.Signal) { Expect(p.cmd.Process.Signal(s)).To(Succeed()) }
 
-// kill ends the process as a failed VM would.
+// kill ends the process with SIGKILL, as the failure of its VM would.
 func (p *process) kill() {
 	_ = p.cmd.Process.Kill()
 	_, _ = p.cmd.Process.Wait()
@@ -57,7 +57,8 @@
 func (p *process) freeze() { p.signal(syscall.SIGSTOP) }
 func (p *process) thaw()   { p.signal(syscall.SIGCONT) }
 
-// stop asks for a planned stop and returns how long it took.
+// stop requests a planned stop with SIGTERM, waits for the exit and returns how
+// long it took.
 func (p *process) stop() time.Duration {
 	begun := time.Now()
 	p.signal(syscall.SIGTERM)
@@ -65,19 +66,21 @@
 	return time.Since(begun)
 }
 
-// Ports for listeners, below the range that Linux takes outgoing connections'
-// ports from: one of those could take the port of a program that starts again.
+// Ports for listeners are below the range from which Linux takes the ports of
+// outgoing connections: such a connection could otherwise take the port of a
+// program that is being restarted.
 const (
 	firstPort = 15000
 	lastPort  = 32000
 )
 
-// nextPort goes through the ports in turn. Drawn at random, one deployment's 25
-// addresses had a pair alike in 2 of 100, and a program did not start.
+// nextPort is the last port given out, as an offset from firstPort. The first one is
+// random; the others follow in order. When each was random, 2 of 100 deployments with
+// 25 addresses had a duplicate, and a program did not start.
 var nextPort = rand.IntN(lastPort - firstPort)
 
-// freeAddress returns a loopback address that was free a moment ago and was not
-// given out before.
+// freeAddress returns a loopback address that was free when it was checked. No
+// address is returned twice until all ports have been given out.
 func freeAddress() string {
 	for {
 		nextPort = (nextPort + 1) % (lastPort - firstPort)
@@ -93,9 +96,9 @@
 
 func dumpLog(p *process) {
 	raw, _ := os.ReadFile(p.log)
-	const most = 20000
-	if len(raw) > most {
-		raw = raw[len(raw)-most:]
+	const maxBytes = 20000
+	if len(raw) > maxBytes {
+		raw = raw[len(raw)-maxBytes:]
 	}
 	fmt.Fprintf(GinkgoWriter, "--- %s\n%s\n", p.name, raw)
 }
--- a/internal/integration/protocol_test.go
+++ b/internal/integration/protocol_test.go
@@ -20,14 +20,14 @@
 
 var _ = Describe("The protocol", Ordered, func() {
 	var d *deployment
-	BeforeAll(func() { d = deploy(shape{groups: 1, proxies: 3, edit: addClasses}) })
+	BeforeAll(func() { d = deploy(deployOptions{groups: 1, proxies: 3, editConfig: addClasses}) })
 
-	// connectMode opens a session of the class that uses one of pgx's modes.
+	// connectMode opens a session of the class in one of pgx's query execution modes.
 	connectMode := func(class string, mode pgx.QueryExecMode) *pgx.Conn {
 		c := d.mustConnect(0, class)
 		conf := c.Config()
 		conf.DefaultQueryExecMode = mode
-		other, err := pgx.ConnectConfig(within(5*time.Second), conf)
+		other, err := pgx.ConnectConfig(timeoutContext(5*time.Second), conf)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(func() { other.Close(context.Background()) })
 		return other
@@ -36,7 +36,7 @@
 	for name, mode := range modes {
 		It("serves statements, options and batches in pgx's mode "+name, func() {
 			c := connectMode(classNote, mode)
-			ctx := within(20 * time.Second)
+			ctx := timeoutContext(20 * time.Second)
 			for i := range 3 {
 				Expect(put(c, "mode", strconv.Itoa(i))).To(Succeed())
 				Expect(get(c, "mode")).To(Equal(strconv.Itoa(i)))
@@ -64,27 +64,27 @@
 			Expect(value).To(Equal("batch"))
 
 			_, err = c.Exec(ctx, "set buckthornshore.nonsense = '1'")
-			Expect(state(err)).To(Equal("BT001"))
+			Expect(sqlState(err)).To(Equal("BT001"))
 			_, err = c.Exec(ctx, "selekt 1")
-			Expect(state(err)).To(Equal("42601"))
+			Expect(sqlState(err)).To(Equal("42601"))
 			Expect(get(c, "mode")).To(Equal("batch"))
 		})
 
-		// Preparing takes a round trip of its own; were it to use up the request's
-		// id, the execution behind it would be refused as run, having never run.
+		// Preparing a statement takes a round trip of its own. If it used up the request's
+		// id, the execution that follows would be refused as already run.
 		It("runs a class that may not be repeated once in pgx's mode "+name, func() {
 			c := connectMode(classOnce, mode)
 			set(c, "request_id", "once-"+name)
 			Expect(put(c, "once-"+name, "1")).To(Succeed())
-			Expect(state(put(c, "once-"+name, "2"))).To(Equal("BT212"))
+			Expect(sqlState(put(c, "once-"+name, "2"))).To(Equal("BT212"))
 			set(c, "class", "quota-balance")
 			Expect(get(c, "once-"+name)).To(Equal("1"))
 		})
 	}
 
-	It("takes our options before other statements of a simple query only", func() {
+	It("accepts session options only before the other statements of a simple query", func() {
 		c := d.mustConnect(0, "quota-balance")
-		ctx := within(10 * time.Second)
+		ctx := timeoutContext(10 * time.Second)
 		_, err := c.Exec(ctx, "set buckthornshore.class = 'note'; set buckthornshore.shard_key to x; "+
 			"insert into quota (k, v) values ('multi', '1') on conflict (k) do update set v = excluded.v", pgx.QueryExecModeSimpleProtocol)
 		Expect(err).NotTo(HaveOccurred())
@@ -96,16 +96,16 @@
 			"set buckthornshore.term = '9'",
 		} {
 			_, err := c.Exec(ctx, sql, pgx.QueryExecModeSimpleProtocol)
-			Expect(state(err)).To(Equal("BT001"), sql)
+			Expect(sqlState(err)).To(Equal("BT001"), sql)
 		}
 		Expect(get(c, "multi")).To(Equal("1"))
 	})
 
-	// Another caller's settings must not follow its connection: here they would
-	// make every write on it fail as read only.
+	// A caller's settings must not stay on the database connection when another caller
+	// gets it. Here, every write on that connection would fail as read-only.
 	It("gives no caller the settings of another", func() {
 		c := d.mustConnect(0, classNote)
-		_, err := c.Exec(within(5*time.Second), "set default_transaction_read_only = 'on'", pgx.QueryExecModeSimpleProtocol)
+		_, err := c.Exec(timeoutContext(5*time.Second), "set default_transaction_read_only = 'on'", pgx.QueryExecModeSimpleProtocol)
 		Expect(err).NotTo(HaveOccurred())
 		for range 20 {
 			Expect(put(d.mustConnect(0, classNote), "settings", "1")).To(Succeed())
@@ -114,7 +114,7 @@
 
 	It("passes over what follows an error up to the Sync, as PostgreSQL does", func() {
 		c := d.mustConnect(0, classNote).PgConn()
-		ctx := within(10 * time.Second)
+		ctx := timeoutContext(10 * time.Second)
 		p := c.StartPipeline(ctx)
 		p.SendQueryPrepared("missing", nil, nil, nil)
 		p.SendPrepare("after", "select v from quota where k = 'a'", nil)
@@ -123,17 +123,17 @@
 		if err == nil {
 			err = p.Close()
 		}
-		Expect(state(err)).To(Equal("26000"))
+		Expect(sqlState(err)).To(Equal("26000"))
 		_ = p.Close()
 		Expect(c.IsClosed()).To(BeFalse())
 		_, err = c.Prepare(ctx, "after", "select v from quota where k = $1", nil)
-		Expect(err).NotTo(HaveOccurred(), "the one behind the error was passed over")
+		Expect(err).NotTo(HaveOccurred(), "the statement after the error must have been skipped")
 		for range 2 {
 			_, err = c.Prepare(ctx, "twice", "select v from quota where k = $1", nil)
 		}
-		Expect(state(err)).To(Equal("42P05"))
+		Expect(sqlState(err)).To(Equal("42P05"))
 		_, err = c.Prepare(ctx, "wrong", "selekt", nil)
-		Expect(state(err)).To(Equal("42601"))
+		Expect(sqlState(err)).To(Equal("42601"))
 		_, err = c.Prepare(ctx, "wrong", "select v from quota where k = $1", nil)
 		Expect(err).NotTo(HaveOccurred(), "a failed preparation leaves no statement")
 	})
--- a/internal/integration/relay_test.go
+++ b/internal/integration/relay_test.go
@@ -9,19 +9,19 @@
 	. "github.com/onsi/gomega"
 )
 
-// relay forwards connections. stall stops those that are open without closing
-// them, as a device does that has lost track of them; cut closes them. New ones
-// work in both cases.
+// relay forwards TCP connections. stall stops forwarding on the open connections
+// without closing them, as a firewall or NAT device does that has lost their state;
+// cut closes them. New connections work in both cases.
 type relay struct {
 	listener net.Listener
 	target   string
 
 	mu    sync.Mutex
-	conns []*relayed
+	conns []*relayedConn
 }
 
-// relayed is one connection through the relay.
-type relayed struct {
+// relayedConn is one connection through the relay.
+type relayedConn struct {
 	ends    [2]net.Conn
 	stalled chan struct{}
 }
@@ -48,7 +48,7 @@
 			in.Close()
 			continue
 		}
-		c := &relayed{ends: [2]net.Conn{in, out}, stalled: make(chan struct{})}
+		c := &relayedConn{ends: [2]net.Conn{in, out}, stalled: make(chan struct{})}
 		r.mu.Lock()
 		r.conns = append(r.conns, c)
 		r.mu.Unlock()
@@ -57,13 +57,13 @@
 	}
 }
 
-func (c *relayed) forward(from, to net.Conn) {
+func (c *relayedConn) forward(from, to net.Conn) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
 		select {
 		case <-c.stalled:
-			_, _ = io.Copy(io.Discard, from) // Taken, and lost.
+			_, _ = io.Copy(io.Discard, from) // Accept the bytes and drop them.
 			return
 		default:
 		}
@@ -78,7 +78,7 @@
 	}
 }
 
-func (r *relay) take() []*relayed {
+func (r *relay) takeConns() []*relayedConn {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	conns := r.conns
@@ -87,13 +87,13 @@
 }
 
 func (r *relay) stall() {
-	for _, c := range r.take() {
+	for _, c := range r.takeConns() {
 		close(c.stalled)
 	}
 }
 
 func (r *relay) cut() {
-	for _, c := range r.take() {
+	for _, c := range r.takeConns() {
 		c.ends[0].Close()
 		c.ends[1].Close()
 	}
--- a/internal/integration/silent_test.go
+++ b/internal/integration/silent_test.go
@@ -11,66 +11,68 @@
 	"github.com/buckthornshore/buckthornshore/pkg/config"
 )
 
-// soon is well below the long deadline that the tests give their writes.
-const soon = 5 * time.Second
+// unknownReportLimit bounds how long a write may take to be reported as unknown. It
+// is well below the deadline of one minute that these tests give their writes.
+const unknownReportLimit = 5 * time.Second
 
 var _ = Describe("Silent connections", func() {
-	longDeadline := func(doc *config.Document) {
+	setLongDeadlines := func(doc *config.Document) {
 		addClasses(doc)
 		for i := range doc.Classes {
 			doc.Classes[i].Deadline = config.Duration(time.Minute)
 		}
 	}
-	// slow starts a write whose answer will be lost and returns its end.
-	slow := func(d *deployment, proxy int, id string) <-chan error {
+	// startSlowWrite starts a write whose answer will be lost and returns a channel
+	// for its error.
+	startSlowWrite := func(d *deployment, proxy int, id string) <-chan error {
 		c := d.mustConnect(proxy, classOnce, "request_id", id)
 		ended := make(chan error, 1)
 		go func() {
-			_, err := c.Exec(within(time.Minute), "insert into slow (k, v) values ('"+id+"', '1'); select pg_sleep(0.4)", pgx.QueryExecModeSimpleProtocol)
+			_, err := c.Exec(timeoutContext(time.Minute), "insert into slow (k, v) values ('"+id+"', '1'); select pg_sleep(0.4)", pgx.QueryExecModeSimpleProtocol)
 			ended <- err
 		}()
 		return ended
 	}
 
-	// The caller of a write learns within a second or two that its outcome is
-	// unknown; its deadline is a minute. The connections between pooler and
-	// database go silent for good while it runs. New ones work, so the database is
-	// not dead: it runs nothing for the old connection, and its answer is lost.
+	// A write is reported as unknown within a second or two, although its deadline is
+	// a minute. While it runs, all open connections between pooler and database stop
+	// carrying data. New connections work and show that the database is not dead and
+	// runs nothing for the old connection any more, so the write's answer is lost.
 	It("between pooler and database end a write as unknown soon", func() {
 		relays := map[string]*relay{}
-		d := deploy(shape{groups: 1, proxies: 3, edit: func(doc *config.Document) {
-			longDeadline(doc)
+		d := deploy(deployOptions{groups: 1, proxies: 3, editConfig: func(doc *config.Document) {
+			setLongDeadlines(doc)
 			for _, t := range doc.Groups[0].Targets {
 				relays[t.Address] = newRelay(t.Address)
 			}
-		}, settings: func(_ int, s *daemon.Settings) {
+		}, editSettings: func(_ int, s *daemon.Settings) {
 			s.AddressMap = map[string]string{}
 			for address, r := range relays {
 				s.AddressMap[address] = r.address()
 			}
 		}})
-		d.settled()
+		d.awaitSettled()
 		term := d.row().Term
-		warm := d.mustConnect(1, classNote)
-		Expect(put(warm, "silent", "1")).To(Succeed())
-		ended := slow(d, 0, "silent-1")
+		warmConn := d.mustConnect(1, classNote)
+		Expect(put(warmConn, "silent", "1")).To(Succeed())
+		ended := startSlowWrite(d, 0, "silent-1")
 		time.Sleep(200 * time.Millisecond)
 		for _, r := range relays {
 			r.stall()
 		}
 		var err error
-		Eventually(ended).WithTimeout(soon).Should(Receive(&err))
-		Expect(state(err)).To(Equal("BT205"))
+		Eventually(ended).WithTimeout(unknownReportLimit).Should(Receive(&err))
+		Expect(sqlState(err)).To(Equal("BT205"))
 		Expect(d.outcome(2, "silent-1")).To(BeElementOf("run", "not run"))
-		Expect(put(warm, "silent", "2")).To(Succeed(), "idle connections that went silent are found before use")
+		Expect(put(warmConn, "silent", "2")).To(Succeed(), "idle connections that went silent must be detected before use")
 		Expect(get(d.mustConnect(2, "quota-balance"), "silent")).To(Equal("2"))
-		Expect(d.row().Term).To(Equal(term), "a silent connection is no dead primary")
+		Expect(d.row().Term).To(Equal(term), "a silent connection must not count as a dead primary")
 	})
 
-	// The same between two proxies: the pooler has answered, and the answer is lost.
+	// The same failure between two proxies: the pooler answers, and the answer is lost.
 	It("between entry and pooler end a write as unknown soon", func() {
 		var pooler *relay
-		d := deploy(shape{groups: 1, proxies: 3, edit: longDeadline, settings: func(i int, s *daemon.Settings) {
+		d := deploy(deployOptions{groups: 1, proxies: 3, editConfig: setLongDeadlines, editSettings: func(i int, s *daemon.Settings) {
 			switch i {
 			case 0:
 				pooler = newRelay(s.PeerAddress)
@@ -78,16 +80,16 @@
 				s.AddressMap = map[string]string{pooler.target: pooler.address()}
 			}
 		}})
-		d.settled()
+		d.awaitSettled()
 		Expect(d.poolerOfPrimary()).To(Equal(0))
 		c := d.mustConnect(1, classNote)
 		Expect(put(c, "hop", "1")).To(Succeed())
-		ended := slow(d, 1, "hop-1")
+		ended := startSlowWrite(d, 1, "hop-1")
 		time.Sleep(200 * time.Millisecond)
 		pooler.stall()
 		var err error
-		Eventually(ended).WithTimeout(soon).Should(Receive(&err))
-		Expect(state(err)).To(Equal("BT205"))
+		Eventually(ended).WithTimeout(unknownReportLimit).Should(Receive(&err))
+		Expect(sqlState(err)).To(Equal("BT205"))
 		Expect(put(c, "hop", "2")).To(Succeed())
 		Expect(get(d.mustConnect(1, "quota-balance"), "hop")).To(Equal("2"))
 		Expect(d.outcome(0, "hop-1")).To(Equal("run"))
--- a/internal/integration/soak_test.go
+++ b/internal/integration/soak_test.go
@@ -13,45 +13,47 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// The soak's seeds and length; the environment sets others: BTS_SOAK_SEEDS=1000-1049
-// BTS_SOAK_SECONDS=20.
+// Default seeds of the soak and its length per seed, in seconds. The environment
+// overrides them, for example BTS_SOAK_SEEDS=1000-1049 BTS_SOAK_SECONDS=20.
 const (
 	soakSeeds   = "1-1"
 	soakSeconds = 8
-	// soakSettles is how long after the last fault every class has to be served again. A
-	// failed primary is replaced within 2 s and a killed proxy's targets pass on within 3.
-	soakSettles = 20 * time.Second
+	// soakRecoveryLimit bounds the time after the last fault until every writer is served again.
+	// A failed primary is replaced within 2 s, and the targets of a killed proxy move to
+	// another pooler within 3 s.
+	soakRecoveryLimit = 20 * time.Second
 )
 
-// failedSeeds showed a fault once, each with its cause. They are played every time.
+// failedSeeds are seeds that once failed, each with the cause. They are run every time.
 var failedSeeds = []uint64{
-	225, // Two faults struck one process; the second signalled one that had ended. The soak's own mistake.
+	225, // Two faults hit one process; the second signalled a process that had exited. The defect was in the soak itself.
 }
 
-// soak plays one seed: faults that come in series and overlap, while writers of each data
-// centre keep their sessions open through them.
+// soak is the run of one seed: a random series of faults that can overlap, while writers in
+// each data centre keep their sessions open.
 type soak struct {
 	*deployment
 	random *rand.Rand
-	// struck are the processes that a fault is open on.
-	struck map[*process]bool
-	log    []string
+	// faulted is the set of processes that are under a fault.
+	faulted map[*process]bool
+	log     []string
 }
 
 func (s *soak) dataCentre() topology.DataCentre {
 	return s.doc.DataCentres[s.random.IntN(len(s.doc.DataCentres))].Name
 }
 
-// strike brings a fault about on a process, unless it is under one already.
-func (s *soak) strike(p *process, bring func(), end func()) (heal func()) {
-	if s.struck[p] {
+// inject starts a fault on a process, unless the process is already under one, and returns
+// the function that ends it.
+func (s *soak) inject(p *process, begin func(), end func()) (heal func()) {
+	if s.faulted[p] {
 		return func() {}
 	}
-	s.struck[p] = true
-	bring()
+	s.faulted[p] = true
+	begin()
 	return func() {
 		end()
-		delete(s.struck, p)
+		delete(s.faulted, p)
 	}
 }
 
@@ -61,40 +63,40 @@
 var faults = []faultsoak.Fault[*soak]{
 	{Name: "a proxy is killed", Bring: func(s *soak) func() {
 		p := s.proxy()
-		return s.strike(p, p.kill, p.start)
+		return s.inject(p, p.kill, p.start)
 	}},
-	{Name: "a proxy stops in order", Bring: func(s *soak) func() {
+	{Name: "a proxy is stopped as planned", Bring: func(s *soak) func() {
 		p := s.proxy()
-		return s.strike(p, func() { p.stop() }, p.start)
+		return s.inject(p, func() { p.stop() }, p.start)
 	}},
-	{Name: "a proxy stands still", Bring: func(s *soak) func() {
+	{Name: "a proxy is frozen", Bring: func(s *soak) func() {
 		p := s.proxy()
-		return s.strike(p, p.freeze, p.thaw)
+		return s.inject(p, p.freeze, p.thaw)
 	}},
-	{Name: "the primary stands still", Bring: func(s *soak) func() {
+	{Name: "the primary is frozen", Bring: func(s *soak) func() {
 		p := s.primary()
-		return s.strike(p, p.freeze, p.thaw)
+		return s.inject(p, p.freeze, p.thaw)
 	}},
 	{Name: "the primary is killed", Bring: func(s *soak) func() {
 		p := s.primary()
-		return s.strike(p, p.kill, p.start)
+		return s.inject(p, p.kill, p.start)
 	}},
-	{Name: "a data centre is cut off, silently", Bring: func(s *soak) func() {
+	{Name: "a data centre is cut off without resets", Bring: func(s *soak) func() {
 		dc := s.dataCentre()
 		s.cutBetween(dc, anywhere, true)
 		return func() { s.cutBetween(dc, anywhere, false) }
 	}},
-	{Name: "a data centre hears nothing, and is heard", Bring: func(s *soak) func() {
+	{Name: "answers to a data centre are lost, its requests arrive", Bring: func(s *soak) func() {
 		dc := s.dataCentre()
-		deafen := func(cut bool) {
+		setAnswersCut := func(cut bool) {
 			for _, l := range s.links {
 				if l.from == dc {
 					l.SetAnswersCut(cut)
 				}
 			}
 		}
-		deafen(true)
-		return func() { deafen(false) }
+		setAnswersCut(true)
+		return func() { setAnswersCut(false) }
 	}},
 	{Name: "connections between data centres are reset", Bring: func(s *soak) func() {
 		for _, l := range s.links {
@@ -112,22 +114,22 @@
 		}
 		return func() {}
 	}},
-	{Name: "the ways between data centres are slow", Bring: func(s *soak) func() {
+	{Name: "links between data centres are slow", Bring: func(s *soak) func() {
 		s.delayLinks(time.Duration(20+s.random.IntN(100)) * time.Millisecond)
 		return func() { s.delayLinks(0) }
 	}},
 	{Name: "the platform is out", Bring: func(s *soak) func() {
-		s.platformDown(true)
-		return func() { s.platformDown(false) }
+		s.setPlatformDown(true)
+		return func() { s.setPlatformDown(false) }
 	}},
 }
 
 var _ = Describe("Faults in any order", func() {
-	// Callers of every data centre write and keep their sessions while processes are killed,
-	// stopped, paused and started again, and ways between data centres are cut, slowed,
-	// silenced or reset, two faults at a time. Whatever the order: what was acknowledged is
-	// there at the end, and once the faults are over everybody is served again.
-	It("lose nothing that was acknowledged and end with them", func() {
+	// Callers in every data centre write and keep their sessions while processes are killed,
+	// stopped, frozen and started again, and links between data centres are cut, slowed,
+	// silenced or reset, two faults at a time. In any order of faults, every acknowledged
+	// write is there at the end, and all callers are served again once the faults are over.
+	It("lose no acknowledged write, and all callers are served after them", func() {
 		seconds, err := strconv.Atoi(faultsoak.Setting("BTS_SOAK_SECONDS", fmt.Sprint(soakSeconds)))
 		Expect(err).NotTo(HaveOccurred())
 		seeds, err := faultsoak.Seeds(faultsoak.Setting("BTS_SOAK_SEEDS", soakSeeds))
@@ -139,8 +141,8 @@
 })
 
 func playSeed(seed uint64, length time.Duration) {
-	s := &soak{deployment: deploy(shape{groups: 1, proxies: 6, links: true}), random: rand.New(rand.NewPCG(seed, seed)), struck: map[*process]bool{}}
-	s.settledView()
+	s := &soak{deployment: deploy(deployOptions{groups: 1, proxies: 6, links: true}), random: rand.New(rand.NewPCG(seed, seed)), faulted: map[*process]bool{}}
+	s.awaitStableView()
 	var writers []*writer
 	for i := range s.proxies {
 		writers = append(writers, s.startWriter(i, "landing-report", fmt.Sprintf("soak-%d-%d", seed, i)))
@@ -150,7 +152,7 @@
 	acked := 0
 	for i, w := range writers {
 		before := w.count()
-		Eventually(w.count).WithTimeout(soakSettles).Should(BeNumerically(">", before),
+		Eventually(w.count).WithTimeout(soakRecoveryLimit).Should(BeNumerically(">", before),
 			"seed %d: the writer at vm-%d is not served after %v", seed, i+1, s.log)
 		w.end()
 		acked += w.count()
--- a/internal/integration/writer_test.go
+++ b/internal/integration/writer_test.go
@@ -12,13 +12,13 @@
 )
 
 // writer writes increasing values to a key of its own, one after the other, and
-// remembers what was acknowledged when.
+// records when each write was acknowledged.
 type writer struct {
 	d     *deployment
 	proxy int
 	class string
 	key   string
-	group string // "": as the shard key has it
+	group string // empty: the group is chosen by the shard key
 
 	mu       sync.Mutex
 	acked    []time.Time
@@ -28,7 +28,7 @@
 	done     chan struct{}
 }
 
-// writePause between two writes.
+// writePause is the time between two writes.
 const writePause = 5 * time.Millisecond
 
 func (d *deployment) startWriter(proxy int, class, key string) *writer {
@@ -61,16 +61,16 @@
 		if c == nil || c.IsClosed() {
 			var err error
 			if c, err = w.d.connect(w.proxy, w.class, "session", w.key, "group", w.group); err != nil {
-				w.note(0, err)
+				w.record(0, err)
 				c = nil
 				continue
 			}
 		}
-		w.note(n, put(c, w.key, fmt.Sprint(n)))
+		w.record(n, put(c, w.key, fmt.Sprint(n)))
 	}
 }
 
-func (w *writer) note(n int, err error) {
+func (w *writer) record(n int, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err == nil {
