--- a/examples/embed/main.go
+++ b/examples/embed/main.go
@@ -172,7 +172,7 @@
 	freshness := routing.NewFreshness(maxSampleAge, ageResolution)
 	freshness.SetGroup(row)
 	freshness.AddSample(routing.Sample{Begun: now, Position: floor})
-	freshness.Learn("db-b", floor, now)
+	freshness.RecordPosition("db-b", floor, now)
 	class, _ := conf.Class("s", "overview")
 	choice, err := routing.Choose(now, routing.Request{Staleness: class.Staleness.Std(), Floor: floor}, freshness,
 		[]routing.Candidate{{Target: "db-a", Primary: true}, {Target: "db-b", SameDC: true}}, rand.New(rand.NewPCG(1, 1)))
--- a/internal/daemon/configupdater.go
+++ b/internal/daemon/configupdater.go
@@ -135,7 +135,7 @@
 func (u *configUpdater) status() status.Config {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	held := u.inForce.Held()
+	held := u.inForce.Current()
 	return status.Config{
 		VM:            u.view.Self().ID,
 		Config:        held.Versions.Config,
@@ -164,7 +164,7 @@
 // only the preset changed; otherwise it is loaded from a relay or the object store.
 func (u *configUpdater) document(ctx context.Context, state store.State) (*config.Document, error) {
 	u.mu.Lock()
-	held := u.inForce.Held()
+	held := u.inForce.Current()
 	u.mu.Unlock()
 	if held.Document != nil && held.Versions.Config == state.Config.Version {
 		return held.Document, nil
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -132,7 +132,7 @@
 		Entries:   entryLiveness{v, prober},
 		Clock:     clock,
 		Log:       log,
-		FirstCome: s.Baseline != "",
+		FIFO:      s.Baseline != "",
 		Metrics:   m,
 	})
 }
--- a/internal/daemon/roles.go
+++ b/internal/daemon/roles.go
@@ -157,7 +157,7 @@
 // purpose then.
 func (r *roles) assign(ctx context.Context, conf *config.View, row *topology.Group, id topology.TargetID) {
 	control, failure := r.pooler.Control(id)
-	if failure != nil || r.driver.Attempting(row.ID) {
+	if failure != nil || r.driver.Promoting(row.ID) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -84,7 +84,7 @@
 				// the other VMs choose poolers without this VM, and the holders of
 				// the groups' rights change the lists of promoters.
 			case membership.Exit:
-				p.Log.Info("event=left", "took", time.Since(start), "left", plan.Left())
+				p.Log.Info("event=left", "took", time.Since(start), "left", plan.Remaining())
 				return
 			}
 		}
--- a/internal/entry/router.go
+++ b/internal/entry/router.go
@@ -197,7 +197,7 @@
 	e.queue = a.queue
 	e.service = average(e.service, a.ran)
 	e.latency = average(e.latency, max(0, now.Sub(begun)-a.queued))
-	g.freshness.Learn(d.target, a.position, now)
+	g.freshness.RecordPosition(d.target, a.position, now)
 	if d.target == row.Primary && d.term != 0 {
 		g.freshness.AddSample(routing.Sample{Begun: begun, Position: a.position})
 	}
@@ -236,7 +236,7 @@
 	defer r.mu.Unlock()
 	g := r.group(row)
 	g.freshness.AddSample(routing.Sample{Begun: begun, Position: at})
-	g.freshness.Learn(row.Primary, at, r.clock.Now())
+	g.freshness.RecordPosition(row.Primary, at, r.clock.Now())
 }
 
 // decideRetry decides whether and when a failed attempt is retried.
--- a/internal/failover/assign.go
+++ b/internal/failover/assign.go
@@ -142,7 +142,7 @@
 			list = append(list, p)
 			continue
 		}
-		d.o.Liveness.Ask(ctx, p.VM)
+		d.o.Liveness.Probe(ctx, p.VM)
 		list = append(list, entriesFor(row, p.Replica)...)
 	}
 	return onePerVM(list, d.sameDataCentre)
--- a/internal/failover/driver.go
+++ b/internal/failover/driver.go
@@ -59,7 +59,7 @@
 
 // LivenessChecker checks whether a VM is alive.
 type LivenessChecker interface {
-	Ask(ctx context.Context, vm topology.VMID)
+	Probe(ctx context.Context, vm topology.VMID)
 }
 
 // Options of a Driver.
@@ -186,7 +186,7 @@
 	}
 	for _, t := range assignment.Targets {
 		if t != row.Primary {
-			d.promoter.Judge(id, health, now)
+			d.promoter.AssessPrimary(id, health, now)
 		}
 	}
 }
@@ -244,7 +244,7 @@
 		return
 	}
 	if vm, ok := d.o.Directory.PoolerOf(row.Primary); ok {
-		d.o.Liveness.Ask(context.Background(), vm.ID)
+		d.o.Liveness.Probe(context.Background(), vm.ID)
 	}
 }
 
@@ -266,11 +266,11 @@
 	d.detector.ObserveAnswer(t, latency, d.o.Clock.Now())
 }
 
-// Doubted implements pooler.Evidence: a connection broke or an answer is overdue.
-func (d *Driver) Doubted(t topology.TargetID) {
+// Suspected implements pooler.Evidence: a connection broke or an answer is overdue.
+func (d *Driver) Suspected(t topology.TargetID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.detector.Doubt(t)
+	d.detector.RequestProbe(t)
 }
 
 // Health returns the health of a target as seen from this VM.
@@ -280,11 +280,11 @@
 	return d.detector.Health(t, d.o.Clock.Now())
 }
 
-// Attempting reports whether this VM is promoting its replica of the group.
-func (d *Driver) Attempting(group topology.GroupID) bool {
+// Promoting reports whether this VM is promoting its replica of the group.
+func (d *Driver) Promoting(group topology.GroupID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.promoter.Attempting(group)
+	return d.promoter.Promoting(group)
 }
 
 // Switchover drains the group's primary and then has the target to promoted.
--- a/internal/failover/handover_test.go
+++ b/internal/failover/handover_test.go
@@ -48,12 +48,12 @@
 func (s *fakeDaemon) Witness(topology.TargetID) (topology.VM, bool) { return topology.VM{}, false }
 func (s *fakeDaemon) Group(topology.GroupID) *topology.Group        { return s.row }
 func (s *fakeDaemon) HeardWithin(topology.VMID, time.Duration) bool { return true }
-func (s *fakeDaemon) Ask(context.Context, topology.VMID)            {}
+func (s *fakeDaemon) Probe(context.Context, topology.VMID)          {}
 func (s *fakeDaemon) Bounds() pooler.Bounds {
 	return pooler.Bounds{TransactionIdle: time.Minute, ResultBytes: 1 << 20}
 }
 func (s *fakeDaemon) Answered(topology.TargetID, time.Duration)   {}
-func (s *fakeDaemon) Doubted(topology.TargetID)                   {}
+func (s *fakeDaemon) Suspected(topology.TargetID)                 {}
 func (s *fakeDaemon) Confirm(authority.Right, bool) *result.Error { return nil }
 func (s *fakeDaemon) Class(string, string) (pooler.ClassLimits, bool) {
 	return pooler.ClassLimits{Write: true, Repeatable: true, Priority: admission.Normal}, true
--- a/internal/failover/status.go
+++ b/internal/failover/status.go
@@ -156,7 +156,7 @@
 // isBehind reports whether a replica has not been told of the row's term yet. The
 // VM that pools it tells it, too, but may have died or not know of its assignment.
 func (d *Driver) isBehind(row *topology.Group, t topology.TargetID, s pooler.TargetStatus) bool {
-	return row != nil && row.Primary != t && s.Term < row.Term && !d.Attempting(row.ID)
+	return row != nil && row.Primary != t && s.Term < row.Term && !d.Promoting(row.ID)
 }
 
 // followRow makes a replica follow the row's primary and logs the entries that the
@@ -174,7 +174,7 @@
 // isn't a position in the row's log.
 func (d *Driver) observePrimary(row *topology.Group, s pooler.TargetStatus, err error, began, now mono.Time) {
 	if err != nil {
-		d.detector.Doubt(row.Primary)
+		d.detector.RequestProbe(row.Primary)
 		return
 	}
 	d.detector.ObserveAnswer(row.Primary, now.Sub(began), now)
--- a/internal/gateway/router.go
+++ b/internal/gateway/router.go
@@ -241,7 +241,7 @@
 	defer r.mu.Unlock()
 	g := r.view(right.Group)
 	g.freshness.AddSample(routing.Sample{Begun: begun, Position: p})
-	g.freshness.Learn(right.Primary, p, r.clock.Now())
+	g.freshness.RecordPosition(right.Primary, p, r.clock.Now())
 }
 
 // recordPosition records the position that a target holds.
@@ -251,7 +251,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.view(group).freshness.Learn(id, p, r.clock.Now())
+	r.view(group).freshness.RecordPosition(id, p, r.clock.Now())
 }
 
 // recordReplicaBehind records that a target refused a read because it has not reached the floor, and the position that
@@ -262,7 +262,7 @@
 	defer r.mu.Unlock()
 	freshness, now, id := r.view(group).freshness, r.clock.Now(), c.pool.Target().ID
 	if !holds.IsZero() {
-		freshness.Learn(id, holds, now)
+		freshness.RecordPosition(id, holds, now)
 	}
 	freshness.MarkRefused(id, now)
 	return freshness.CatchUp(id, c.floor, now)
--- a/internal/lead/cluster_test.go
+++ b/internal/lead/cluster_test.go
@@ -263,7 +263,7 @@
 
 func (h *health) Starved() []topology.TargetID { return nil }
 
-func (h *health) Yield([]topology.TargetID) {}
+func (h *health) LimitToShare([]topology.TargetID) {}
 
 // cluster is a number of VMs with one store and one group of databases.
 type cluster struct {
--- a/internal/lead/digest_test.go
+++ b/internal/lead/digest_test.go
@@ -27,7 +27,7 @@
 
 func (fakeHealth) Starved() []topology.TargetID { return nil }
 
-func (fakeHealth) Yield([]topology.TargetID) {}
+func (fakeHealth) LimitToShare([]topology.TargetID) {}
 
 // newPair returns a coordinator and another VM that know the same rows; the test passes the
 // messages.
--- a/internal/lead/judge_test.go
+++ b/internal/lead/judge_test.go
@@ -69,4 +69,4 @@
 
 func (fixedAnswerTime) Starved() []topology.TargetID { return nil }
 
-func (fixedAnswerTime) Yield([]topology.TargetID) {}
+func (fixedAnswerTime) LimitToShare([]topology.TargetID) {}
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -99,7 +99,7 @@
 type Health interface {
 	Load(id topology.TargetID) (target.Load, bool)
 	Starved() []topology.TargetID
-	Yield(ids []topology.TargetID)
+	LimitToShare(ids []topology.TargetID)
 }
 
 // Options are the parameters of New.
--- a/internal/lead/renew.go
+++ b/internal/lead/renew.go
@@ -190,7 +190,7 @@
 	if !ok {
 		return nil, 0
 	}
-	l.Health.Yield(m.Starved)
+	l.Health.LimitToShare(m.Starved)
 	if m.Leaving {
 		l.leavingVMs[m.From] = m.Incarnation
 	}
--- a/internal/lead/traffic_test.go
+++ b/internal/lead/traffic_test.go
@@ -45,8 +45,8 @@
 func (healthyFakes) Load(topology.TargetID) (target.Load, bool) {
 	return target.Load{LastAnswer: mono.System{}.Now()}, true
 }
-func (healthyFakes) Starved() []topology.TargetID { return nil }
-func (healthyFakes) Yield([]topology.TargetID)    {}
+func (healthyFakes) Starved() []topology.TargetID     { return nil }
+func (healthyFakes) LimitToShare([]topology.TargetID) {}
 
 // Newest, Add and Renew implement lead.Positions.
 func (healthyFakes) Newest(topology.GroupID) (routing.Sample, bool) {
--- a/internal/liveness/liveness.go
+++ b/internal/liveness/liveness.go
@@ -51,7 +51,7 @@
 	for n := 0; ; n++ {
 		for _, s := range p.directory.Statuses() {
 			if s.State == membership.Suspect || s.State == membership.Dead && n%deadEveryPeriods == 0 {
-				p.Ask(ctx, s.VM.ID)
+				p.Probe(ctx, s.VM.ID)
 			}
 		}
 		select {
@@ -62,9 +62,9 @@
 	}
 }
 
-// Ask probes one VM now, unless a probe of it is already running. It returns no result:
+// Probe probes one VM now, unless a probe of it is already running. It returns no result:
 // the answer, or its absence, updates the VM's state like any other message.
-func (p *Prober) Ask(ctx context.Context, id topology.VMID) {
+func (p *Prober) Probe(ctx context.Context, id topology.VMID) {
 	vm, ok := p.directory.VM(id)
 	if !ok || id == p.directory.Self().ID || !p.startProbe(id) {
 		return
--- a/internal/pooler/entries.go
+++ b/internal/pooler/entries.go
@@ -22,7 +22,7 @@
 	}
 	asked := map[string]bool{}
 	for _, key := range tp.idleTransactions(now, 0) {
-		if p.o.Entries.Gone(topology.VMID(key.entry), topology.Incarnation(key.incarnation)) {
+		if p.o.Entries.IncarnationEnded(topology.VMID(key.entry), topology.Incarnation(key.incarnation)) {
 			p.o.Log.Info("event=transaction_freed", "target", tp.target.ID, "entry", key.entry)
 			tp.abandon(key)
 		}
@@ -30,7 +30,7 @@
 	for _, key := range tp.idleTransactions(now, askEntryAfter) {
 		if !asked[key.entry] {
 			asked[key.entry] = true
-			p.o.Entries.Ask(context.Background(), topology.VMID(key.entry))
+			p.o.Entries.Probe(context.Background(), topology.VMID(key.entry))
 		}
 	}
 }
--- a/internal/pooler/execute.go
+++ b/internal/pooler/execute.go
@@ -95,7 +95,7 @@
 // read at the primary comes after the writes of its priority, because it could have
 // run on a replica.
 func (p *Pooler) admissionRequest(req *request) admission.Request {
-	if p.o.FirstCome {
+	if p.o.FIFO {
 		return admission.Request{Member: req.Member, Class: req.Class, Priority: admission.Normal}
 	}
 	r := admission.Request{
@@ -135,7 +135,7 @@
 	}
 	c, err := tp.acquire(ctx, want)
 	if err != nil {
-		p.evidence.Doubted(tp.target.ID)
+		p.evidence.Suspected(tp.target.ID)
 		return err
 	}
 	if err := bindInTime(ctx, c, want); err != nil {
@@ -146,7 +146,7 @@
 	a, failure := p.runCancellable(ctx, tp, c, req, p.runUnit)
 	if failure != nil {
 		p.discardLost(tp, c, failure)
-		p.doubtIfUnreachable(tp, failure)
+		p.suspectIfUnreachable(tp, failure)
 		return failure
 	}
 	p.evidence.Answered(tp.target.ID, time.Since(begun))
@@ -168,10 +168,10 @@
 	return c.bind(ctx, want)
 }
 
-// doubtIfUnreachable has the target probed if the failure is one of its connection.
-func (p *Pooler) doubtIfUnreachable(tp *targetPool, failure *result.Error) {
+// suspectIfUnreachable has the target probed if the failure is one of its connection.
+func (p *Pooler) suspectIfUnreachable(tp *targetPool, failure *result.Error) {
 	if failure.Code == result.TargetSilent || failure.Code == result.TargetUnreachable {
-		p.evidence.Doubted(tp.target.ID)
+		p.evidence.Suspected(tp.target.ID)
 	}
 }
 
@@ -191,7 +191,7 @@
 	if failure != nil {
 		tp.drop(req.key)
 		p.discardLost(tp, h.conn, failure)
-		p.doubtIfUnreachable(tp, failure)
+		p.suspectIfUnreachable(tp, failure)
 		return failure
 	}
 	p.evidence.Answered(tp.target.ID, time.Since(begun))
--- a/internal/pooler/pooler.go
+++ b/internal/pooler/pooler.go
@@ -36,8 +36,8 @@
 type Evidence interface {
 	// Answered records that the target answered a request after latency.
 	Answered(target topology.TargetID, latency time.Duration)
-	// Doubted records that the target may have failed.
-	Doubted(target topology.TargetID)
+	// Suspected records that the target may have failed.
+	Suspected(target topology.TargetID)
 }
 
 // ClassLimits are the properties of a request's class that the pooler uses.
@@ -71,12 +71,12 @@
 	ResultBytes int
 }
 
-// Entries reports which entries have ended, and queries those that send nothing.
+// Entries reports which entries have ended, and probes those that send nothing.
 type Entries interface {
-	// Gone reports whether the VM is dead or has restarted since this incarnation.
-	Gone(id topology.VMID, incarnation topology.Incarnation) bool
-	// Ask sends the VM a message that it must answer; Gone reflects the outcome.
-	Ask(ctx context.Context, id topology.VMID)
+	// IncarnationEnded reports whether the VM is dead or has restarted since this incarnation.
+	IncarnationEnded(id topology.VMID, incarnation topology.Incarnation) bool
+	// Probe sends the VM a message that it must answer; IncarnationEnded reflects the outcome.
+	Probe(ctx context.Context, id topology.VMID)
 }
 
 // TargetLimits is a target with its limits.
@@ -92,9 +92,9 @@
 	Directory Directory
 	Clock     mono.Clock
 	Log       *slog.Logger
-	// FirstCome serves requests in the order of their arrival. It serves as a baseline
+	// FIFO makes the pooler serve requests first in, first out. It is a baseline
 	// for comparisons.
-	FirstCome bool
+	FIFO bool
 	// Entries may be nil; then only the idle time-out ends abandoned transactions.
 	Entries Entries
 	// Metrics may be nil.
--- a/internal/pooler/silent.go
+++ b/internal/pooler/silent.go
@@ -87,7 +87,7 @@
 	defer cancel()
 	s, _, err := Probe(ctx, p.o.Dialer, e.address)
 	if err != nil {
-		p.evidence.Doubted(e.target)
+		p.evidence.Suspected(e.target)
 		return false
 	}
 	return s.Active != nil && !s.Active[e.conn.pid]
--- a/internal/pooler/suite_test.go
+++ b/internal/pooler/suite_test.go
@@ -35,14 +35,14 @@
 // bench is a pooler in front of one database, with the configuration of both. It
 // implements the interfaces that the pooler needs.
 type bench struct {
-	db      *database.Database
-	pooler  *pooler.Pooler
-	address string // address at which the pooler connects to the database
-	row     *topology.Group
-	bounds  pooler.Bounds
-	limits  pooler.TargetLimits
-	hop     atomic.Uint64
-	doubts  atomic.Int32
+	db         *database.Database
+	pooler     *pooler.Pooler
+	address    string // address at which the pooler connects to the database
+	row        *topology.Group
+	bounds     pooler.Bounds
+	limits     pooler.TargetLimits
+	hop        atomic.Uint64
+	suspicions atomic.Int32
 	// rights, if set, replaces the default of Right, which always grants the right.
 	rights func(topology.GroupID, uint64) (authority.Right, *result.Error)
 }
@@ -92,7 +92,7 @@
 }
 func (b *bench) Confirm(authority.Right, bool) *result.Error { return nil }
 func (b *bench) Answered(topology.TargetID, time.Duration)   {}
-func (b *bench) Doubted(topology.TargetID)                   { b.doubts.Add(1) }
+func (b *bench) Suspected(topology.TargetID)                 { b.suspicions.Add(1) }
 
 // request returns a request of the class with one simple query.
 func (b *bench) request(class, sql string) *peerpb.ExecuteRequest {
--- a/internal/target/dial.go
+++ b/internal/target/dial.go
@@ -42,7 +42,7 @@
 // the VMs that connected first would otherwise keep all connections, and callers of the
 // others would be refused for as long as the load lasts.
 func (p *Pool) connectionLimit() int {
-	if p.clock.Now().Before(p.yieldUntil) {
+	if p.clock.Now().Before(p.shareLimitUntil) {
 		return p.share
 	}
 	idleInTransaction := 0
--- a/internal/target/pool.go
+++ b/internal/target/pool.go
@@ -37,10 +37,10 @@
 	// indirectIdle is surplusIdle for connections that go through another VM.
 	indirectIdle = 15 * time.Second
 	// starvedFor is how long a VM counts as starved after the target refused it a connection
-	// of its share, and yieldFor how long the other VMs then keep to their shares: a few
+	// of its share, and shareLimitTime how long the other VMs then keep to their shares: a few
 	// rounds of the messages that report starved VMs.
-	starvedFor = time.Second
-	yieldFor   = 2 * time.Second
+	starvedFor     = time.Second
+	shareLimitTime = 2 * time.Second
 	// maxExtraLinks is how many connections beyond its share a VM may open while other
 	// connections are idle in transactions.
 	maxExtraLinks = 3
@@ -79,13 +79,13 @@
 	noDialUntil  mono.Time
 	noProbeUntil mono.Time
 	// starvedUntil is until when this VM counts as starved: the target had no connection left
-	// while this VM held fewer than its share. yieldUntil is until when this VM keeps to its
+	// while this VM held fewer than its share. shareLimitUntil is until when this VM keeps to its
 	// share since another VM is starved.
-	starvedUntil mono.Time
-	yieldUntil   mono.Time
-	saturation   saturation
-	leaving      leaving
-	health       health
+	starvedUntil    mono.Time
+	shareLimitUntil mono.Time
+	saturation      saturation
+	leaving         leaving
+	health          health
 	// holdTime is the moving average of how long a request or transaction holds a link.
 	holdTime time.Duration
 	closed   bool
@@ -213,7 +213,7 @@
 		p.grow()
 		return
 	}
-	if len(p.links) > p.share && p.clock.Now().Before(p.yieldUntil) {
+	if len(p.links) > p.share && p.clock.Now().Before(p.shareLimitUntil) {
 		p.drop(l)
 		return
 	}
--- a/internal/target/pool_test.go
+++ b/internal/target/pool_test.go
@@ -227,7 +227,7 @@
 		t.Fatal(err)
 	}
 	surplus := acquire(t, p, nil)
-	p.Yield()
+	p.LimitToShare()
 	surplus.Release()
 	_, failure := p.Acquire(context.Background(), until(mono.System{}.Now().Add(50*time.Millisecond)), nil)
 	if failure == nil || f.count() != 2 {
--- a/internal/target/pools.go
+++ b/internal/target/pools.go
@@ -72,11 +72,11 @@
 	return ids
 }
 
-// Yield limits this VM to its share of each target's connections for yieldFor.
-func (p *Pools) Yield(ids []topology.TargetID) {
+// LimitToShare limits this VM to its share of each target's connections for shareLimitTime.
+func (p *Pools) LimitToShare(ids []topology.TargetID) {
 	for _, id := range ids {
 		if pool, ok := p.Get(id); ok {
-			pool.Yield()
+			pool.LimitToShare()
 		}
 	}
 }
--- a/internal/target/share.go
+++ b/internal/target/share.go
@@ -28,11 +28,11 @@
 	return p.clock.Now().Before(p.starvedUntil)
 }
 
-// Yield limits this VM to its share for yieldFor, and closes idle connections beyond it.
-func (p *Pool) Yield() {
+// LimitToShare limits this VM to its share for shareLimitTime, and closes idle connections beyond it.
+func (p *Pool) LimitToShare() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.yieldUntil = p.clock.Now().Add(yieldFor)
+	p.shareLimitUntil = p.clock.Now().Add(shareLimitTime)
 	for len(p.links) > p.share && len(p.idle) > 0 {
 		p.drop(p.idle[0])
 		p.idle = p.idle[1:]
--- a/internal/view/entries.go
+++ b/internal/view/entries.go
@@ -7,9 +7,9 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Gone reports whether the VM is dead or has restarted since the incarnation. Nobody
+// IncarnationEnded reports whether the VM is dead or has restarted since the incarnation. Nobody
 // will ask again for what the incarnation held.
-func (v *View) Gone(id topology.VMID, incarnation topology.Incarnation) bool {
+func (v *View) IncarnationEnded(id topology.VMID, incarnation topology.Incarnation) bool {
 	for _, s := range v.Statuses() {
 		if s.VM.ID == id {
 			return s.State == membership.Dead || s.VM.Incarnation > incarnation
--- a/pkg/authority/detector.go
+++ b/pkg/authority/detector.go
@@ -160,10 +160,10 @@
 	w.timeouts = 0
 }
 
-// Doubt makes a probe of the target due without waiting for ProbeIdle. It is called
+// RequestProbe makes a probe of the target due without waiting for ProbeIdle. It is called
 // when a connection broke, an answer is overdue or the holder reports the target as
 // dead.
-func (d *Detector) Doubt(target topology.TargetID) {
+func (d *Detector) RequestProbe(target topology.TargetID) {
 	if w, ok := d.targets[target]; ok {
 		w.probeNow = true
 	}
@@ -251,7 +251,7 @@
 	return Doubtful
 }
 
-// Judge decides whether the group's primary is suspected to be dead, passes the
+// AssessPrimary decides whether the group's primary is suspected to be dead, passes the
 // result to Suspect and returns it. It combines this VM's own observation with the
 // health that the holder reports.
 //
@@ -259,7 +259,7 @@
 // primary is not suspected: the failure is on the path from this VM. If the holder
 // is silent but the primary answers this VM, the pooler is dead, and another
 // pooler replaces it without a promotion.
-func (p *Promoter) Judge(group topology.GroupID, direct Health, now mono.Time) bool {
+func (p *Promoter) AssessPrimary(group topology.GroupID, direct Health, now mono.Time) bool {
 	s := p.promoterGroup(group)
 	speaks := s.heartbeatAt != 0 && now.Sub(s.heartbeatAt) < HolderSilenceLimit
 	dead := direct == Dead
--- a/pkg/authority/detector_test.go
+++ b/pkg/authority/detector_test.go
@@ -81,7 +81,7 @@
 	// on them, but new connections are answered.
 	It("does not report a target as dead because of a silent connection", func() {
 		d := newDetector()
-		d.Doubt("db0")
+		d.RequestProbe("db0")
 		at := drive(d, second, 6*second, func(mono.Time) (ProbeOutcome, time.Duration) {
 			return ProbeAnswered, 12 * time.Millisecond
 		})
--- a/pkg/authority/promoter.go
+++ b/pkg/authority/promoter.go
@@ -152,9 +152,9 @@
 	return s.status.Reachable && s.row != nil && s.status.Term == s.row.Term && s.status.Primary == s.row.Primary
 }
 
-// Attempting reports whether this VM is promoting its replica. If it is not, a
+// Promoting reports whether this VM is promoting its replica. If it is not, a
 // replica that is still fenced must follow the row's primary again.
-func (p *Promoter) Attempting(group topology.GroupID) bool {
+func (p *Promoter) Promoting(group topology.GroupID) bool {
 	s, ok := p.groups[group]
 	return ok && s.attempt != nil
 }
--- a/pkg/authority/promotion.go
+++ b/pkg/authority/promotion.go
@@ -50,7 +50,7 @@
 }
 
 // Suspect sets whether the group's primary is suspected to be dead and so to be
-// replaced. Judge calls it with its decision.
+// replaced. AssessPrimary calls it with its decision.
 func (p *Promoter) Suspect(group topology.GroupID, dead bool, now mono.Time) {
 	s := p.promoterGroup(group)
 	if dead && !s.suspected {
--- a/pkg/authority/rules_test.go
+++ b/pkg/authority/rules_test.go
@@ -56,7 +56,7 @@
 	It("suspects no primary that its holder reports as healthy", func() {
 		p := newPromoter()
 		beat(p, Healthy, 2*second)
-		Expect(p.Judge(testGroup, Dead, 2*second+1)).To(BeFalse())
+		Expect(p.AssessPrimary(testGroup, Dead, 2*second+1)).To(BeFalse())
 	})
 
 	// The holder is silent but the target answers this VM: the pooler's VM died, and
@@ -64,8 +64,8 @@
 	It("suspects no primary that answers while its holder is silent", func() {
 		p := newPromoter()
 		beat(p, Healthy, 2*second)
-		Expect(p.Judge(testGroup, Healthy, 4*second)).To(BeFalse())
-		Expect(p.Judge(testGroup, Dead, 4*second)).To(BeTrue())
+		Expect(p.AssessPrimary(testGroup, Healthy, 4*second)).To(BeFalse())
+		Expect(p.AssessPrimary(testGroup, Dead, 4*second)).To(BeTrue())
 	})
 
 	// Over a flapping link, each promotion interrupts the callers. The third promotion
--- a/pkg/authority/world_vm_test.go
+++ b/pkg/authority/world_vm_test.go
@@ -135,7 +135,7 @@
 	if st.Reachable && d.isPrimary() && st.Term == row.Term {
 		v.holder.ObservePrimary(testGroup, st.Position, began)
 	}
-	stale := d.term < row.Term || (d.fenced > d.term && !v.promoter.Attempting(testGroup))
+	stale := d.term < row.Term || (d.fenced > d.term && !v.promoter.Promoting(testGroup))
 	if v.index < dcCount && stale && row.Primary != d.id {
 		d.follow(row.Term, row.Primary)
 	}
@@ -326,7 +326,7 @@
 	}
 	if row := v.promoter.Row(testGroup); row != nil {
 		direct := v.detector.Health(row.Primary, now)
-		v.promoter.Judge(testGroup, direct, now)
+		v.promoter.AssessPrimary(testGroup, direct, now)
 		v.holder.SetHealth(testGroup, direct)
 	}
 }
--- a/pkg/config/inforce.go
+++ b/pkg/config/inforce.go
@@ -35,8 +35,8 @@
 // Versions returns the versions in force.
 func (f *InForce) Versions() Versions { return f.held.Versions }
 
-// Held returns the configuration in force, to be offered to peers.
-func (f *InForce) Held() Offer { return f.held }
+// Current returns the configuration in force, to be offered to peers.
+func (f *InForce) Current() Offer { return f.held }
 
 // View returns the resolved configuration in force, or nil when there is none.
 func (f *InForce) View() *View { return f.view }
--- a/pkg/membership/leaving.go
+++ b/pkg/membership/leaving.go
@@ -69,10 +69,10 @@
 
 // Stop is the state of a planned stop of this VM.
 type Stop struct {
-	started mono.Time
-	drain   time.Duration
-	exited  bool
-	left    Load
+	started   mono.Time
+	drain     time.Duration
+	exited    bool
+	remaining Load
 }
 
 // NewStop begins a planned stop at now that lasts at most drain, or MinNotice
@@ -86,7 +86,7 @@
 func (s *Stop) Tick(now mono.Time, load Load) []Action {
 	if s.exited || s.finished(now, load) {
 		if !s.exited {
-			s.exited, s.left = true, load
+			s.exited, s.remaining = true, load
 		}
 		return []Action{Exit}
 	}
@@ -114,6 +114,6 @@
 	return load.empty() && load.Announced && waited >= MinNotice
 }
 
-// Left returns the load that remained at the exit. All its counts are zero if
+// Remaining returns the load that remained at the exit. All its counts are zero if
 // the stop cut off no work.
-func (s *Stop) Left() Load { return s.left }
+func (s *Stop) Remaining() Load { return s.remaining }
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -183,7 +183,7 @@
 		Expect(s.Tick(at(5000), load)).To(Equal([]membership.Action{membership.RefuseNewSessions}))
 		load.Running = 0
 		Expect(s.Tick(at(6000), load)).To(Equal([]membership.Action{membership.Exit}))
-		Expect(s.Left()).To(Equal(load))
+		Expect(s.Remaining()).To(Equal(load))
 	})
 
 	It("does not exit before MinNotice has passed, and exits after the drain time with the remaining load", func() {
@@ -192,6 +192,6 @@
 		stuck := membership.Load{Announced: true, Running: 2}
 		Expect(s.Tick(at(9999), stuck)).NotTo(ContainElement(membership.Exit))
 		Expect(s.Tick(at(10_000), stuck)).To(Equal([]membership.Action{membership.Exit}))
-		Expect(s.Left().Running).To(Equal(2))
+		Expect(s.Remaining().Running).To(Equal(2))
 	})
 })
--- a/pkg/routing/applied.go
+++ b/pkg/routing/applied.go
@@ -8,9 +8,9 @@
 	"github.com/buckthornshore/buckthornshore/pkg/topology"
 )
 
-// Learn records that the target reported position p. Answers may arrive out of
+// RecordPosition records that the target reported position p. Answers may arrive out of
 // order, so the highest position is kept.
-func (f *Freshness) Learn(target topology.TargetID, p position.Position, now mono.Time) {
+func (f *Freshness) RecordPosition(target topology.TargetID, p position.Position, now mono.Time) {
 	a, known := f.targets[target]
 	if known && !a.Position.Less(p) {
 		if a.Position == p {
@@ -19,7 +19,7 @@
 		}
 		return
 	}
-	a.Position, a.Learnt, a.lastReport = p, now, now
+	a.Position, a.RecordedAt, a.lastReport = p, now, now
 	f.targets[target] = a
 }
 
@@ -77,7 +77,7 @@
 // target is avoided until its position advances: asking it earlier would only
 // repeat the bounded wait.
 func (f *Freshness) MarkBehind(target topology.TargetID, p position.Position, now mono.Time) {
-	f.Learn(target, p, now)
+	f.RecordPosition(target, p, now)
 	a := f.targets[target]
 	a.behindAt, a.behindSet = p, true
 	f.targets[target] = a
--- a/pkg/routing/bench_test.go
+++ b/pkg/routing/bench_test.go
@@ -15,8 +15,8 @@
 	for i := range uint64(1000) {
 		f.AddSample(routing.Sample{Begun: mono.Time(i) * 10 * ms, Position: at(1, i+1)})
 	}
-	f.Learn("near", at(1, 990), 0)
-	f.Learn("far", at(1, 995), 0)
+	f.RecordPosition("near", at(1, 990), 0)
+	f.RecordPosition("far", at(1, 995), 0)
 	targets := []routing.Candidate{{Target: "primary", Primary: true}, {Target: "near", SameDC: true}, {Target: "far"}}
 	random := rand.New(rand.NewPCG(1, 1))
 	req := routing.Request{Staleness: time.Second, Floor: at(1, 980)}
--- a/pkg/routing/catchup_test.go
+++ b/pkg/routing/catchup_test.go
@@ -24,7 +24,7 @@
 		for i := range uint64(11) {
 			f.AddSample(routing.Sample{Begun: mono.Time(i) * 100 * ms, Position: at(1, 1+10*i)})
 		}
-		f.Learn(replica, at(1, 71), second)
+		f.RecordPosition(replica, at(1, 71), second)
 		return f
 	}
 
@@ -40,7 +40,7 @@
 	// interpolated.
 	It("is given an interpolated catch-up time between samples", func() {
 		f := history()
-		f.Learn(replica, at(1, 76), second)
+		f.RecordPosition(replica, at(1, 76), second)
 		Expect(f.CatchUp(replica, at(1, 91), second)).To(Equal(150 * time.Millisecond))
 	})
 
--- a/pkg/routing/freshness.go
+++ b/pkg/routing/freshness.go
@@ -27,8 +27,8 @@
 // Applied is the highest position a target is known to hold.
 type Applied struct {
 	Position position.Position
-	// Learnt is when the target first reported Position.
-	Learnt mono.Time
+	// RecordedAt is when the target first reported Position.
+	RecordedAt mono.Time
 	// lastReport is when the target last indicated that it holds no more than
 	// Position.
 	lastReport mono.Time
--- a/pkg/routing/polling_test.go
+++ b/pkg/routing/polling_test.go
@@ -39,7 +39,7 @@
 	var out learnStats
 	applied := func(t topology.TargetID, now mono.Time) uint64 { return uint64(max(now-lag[t], 0)/(5*ms)) + 1 }
 	ask := func(t topology.TargetID, now mono.Time) {
-		f.Learn(t, at(1, applied(t, now)), now)
+		f.RecordPosition(t, at(1, applied(t, now)), now)
 		if t == "primary" {
 			f.AddSample(routing.Sample{Begun: now - 2*ms, Position: at(1, applied(t, now))})
 		}
--- a/pkg/routing/routing_test.go
+++ b/pkg/routing/routing_test.go
@@ -49,7 +49,7 @@
 				all = append(all, s)
 				f.AddSample(s)
 				held = rapid.Uint64Range(held, uint64(len(commits))).Draw(t, "held")
-				f.Learn("r1", at(1, held), now)
+				f.RecordPosition("r1", at(1, held), now)
 				age, ok := f.ShownAge("r1", now)
 				if ok && held < uint64(len(commits)) && age < now.Sub(commits[held]) {
 					t.Fatalf("shown age %v, but a commit from %v ago is missing", age, now.Sub(commits[held]))
@@ -220,8 +220,8 @@
 	BeforeEach(func() {
 		f = routing.NewFreshness(time.Second, time.Millisecond)
 		f.AddSample(routing.Sample{Begun: 0, Position: at(1, 100)})
-		f.Learn("near", at(1, 100), 0)
-		f.Learn("far", at(1, 100), 0)
+		f.RecordPosition("near", at(1, 100), 0)
+		f.RecordPosition("far", at(1, 100), 0)
 		targets = []routing.Candidate{
 			{Target: "primary", Primary: true, SameDC: true, Service: time.Millisecond, Slots: 2},
 			{Target: "near", SameDC: true, Service: time.Millisecond, Slots: 2},
@@ -246,7 +246,7 @@
 		read.Floor = at(1, 101)
 		f.MarkBehind("near", at(1, 100), 0)
 		Expect(choose(read)).To(BeEquivalentTo("far"))
-		f.Learn("near", at(1, 101), 0)
+		f.RecordPosition("near", at(1, 101), 0)
 		Expect(choose(read)).To(BeEquivalentTo("near"))
 	})
 
