--- a/internal/entry/route.go
+++ b/internal/entry/route.go
@@ -55,8 +55,8 @@
 		if reached >= req.class.MaxAttempts {
 			return nil, finalError(failure, req)
 		}
-		outcome := retry.FailedAttempt{Attempt: countedAttempts(req, failure, attempt, reached), Err: failure, Member: s.options.member}
-		decision := s.server.router.decideRetry(policy, outcome, retryClass(req.class), deadline)
+		failed := retry.FailedAttempt{Attempt: countedAttempts(req, failure, attempt, reached), Err: failure, Member: s.options.member}
+		decision := s.server.router.decideRetry(policy, failed, retryClass(req.class), deadline)
 		if decision.Err != nil {
 			return nil, decision.Err
 		}
