--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -257,7 +257,7 @@
 // The holder of an unreachable primary still accepts session values and refuses each request; when
 // these counted, most VMs reported the primary as alive, and callers' writes waited for six
 // seconds until its registration had expired.
-func TestAHoldersWordIsNoAnswerOfTheTarget(t *testing.T) {
+func TestAnAnswerOfTheHolderIsNotTheTargets(t *testing.T) {
 	db, pool := startPool(t)
 	l := acquire(t, pool)
 	if _, err := l.Run(soon(), target.Command{ID: "1", Text: "read x"}); err != nil {
--- a/internal/target/pool_test.go
+++ b/internal/target/pool_test.go
@@ -156,7 +156,7 @@
 
 // Guards against a primary that is replaced because of its load: a new connection to a full
 // target times out while the one in use is answered, and the target must not count as failing.
-func TestAFullTargetHasNotFailed(t *testing.T) {
+func TestAFullTargetIsNotReportedAsFailing(t *testing.T) {
 	f := &fakeTarget{}
 	p := newPool(f, 2)
 	l := acquire(t, p, nil)
@@ -312,7 +312,7 @@
 // Guards against a session that gets a connection with another session's values. A request
 // for the position also clears the connection; if it is refused or late, it isn't known
 // whether the connection was cleared.
-func TestAConnectionThatMayNotBeClearedIsNotUsedAgain(t *testing.T) {
+func TestAConnectionIsDiscardedIfItMayNotHaveBeenCleared(t *testing.T) {
 	for name, answer := range map[string]func(target.Command) (statement.Answer, error){
 		"refused": func(target.Command) (statement.Answer, error) {
 			return statement.Fail(result.New(result.TargetBusy, ""), statement.Idle), nil
@@ -341,7 +341,7 @@
 
 // Guards against a connection that is used again though it isn't known whether a session's
 // value was set on it, since the answer came too late.
-func TestAConnectionWithAnUncertainValueIsNotUsedAgain(t *testing.T) {
+func TestAConnectionIsDiscardedIfSettingAValueTimesOut(t *testing.T) {
 	f := &fakeTarget{answer: func(target.Command) (statement.Answer, error) {
 		return statement.Answer{}, os.ErrDeadlineExceeded
 	}}
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -246,7 +246,7 @@
 // Two takeovers happen in quick succession. The first coordinator is cut off and knows of
 // neither. That the second coordinator has adopted the last takeover does not mean that
 // the first one has stopped.
-func TestASecondTakeoverWaitsForTheFirstCoordinatorToo(t *testing.T) {
+func TestASecondTakeoverAlsoWaitsForTheFirstCoordinator(t *testing.T) {
 	first := firstRow()
 	first.Witnesses = []topology.VMID{"vm-1", "vm-4", "vm-5"}
 	taken := first.TakenBy("vm-2", 1, "vm-2", []topology.VMID{"vm-2"})
